--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -1,4 +1,4 @@
-"""What a request passes before it is sent anywhere, and what is settled after."""
+"""Admission of requests before routing, and settlement of their reservations."""
 
 import time
 
@@ -15,30 +15,31 @@
 from celerytrack.verdict import Reason, Refusal, did_not_run
 
 DEFAULT_DEADLINE_S = 30.0
-"""Deadline of a caller that names none: longer than any route's timeout should be, and
-still an end."""
+"""Deadline of a request that names none: longer than the timeout of any sensible
+route, but finite."""
 ANSWER_MARGIN_S = 0.03
-"""An answer goes out this long before the deadline, so that it arrives: there is the
-way to the caller, and timers fire late on a busy instance."""
+"""How long before the deadline an answer must be sent to arrive in time: covers the
+network latency to the caller and timers that fire late on a busy instance."""
 SOON_S = 0.1
-"""When to come back after a refusal that another entry may well not give."""
+"""``Retry-After`` of a refusal when another entry may accept the request."""
 SHORTLY_S = 0.5
-"""When to come back while a service has no endpoint: registrations are back
-within two seconds of an outage's end."""
+"""``Retry-After`` while a service has no endpoint: registrations are back within two
+seconds after an outage ends."""
 CUT_LASTS_S = 3.0
-"""When to come back while this entry is cut off from the log and the others
-have no tokens to give: cuts last seconds, and a caller has one more try."""
+"""``Retry-After`` while this entry is partitioned from the log and the other entries
+have no tokens to transfer: partitions last seconds, and a caller has one more
+attempt."""
 TOKENS_RETURN_S = 5.0
-"""When to come back if neither the total nor the other entries have the tokens:
-they return as requests end below their largest cost, or by a top-up."""
+"""``Retry-After`` if neither the total nor the other entries have the tokens: they
+become available when requests end below their maximum cost, or by a top-up."""
 
 
 async def admit(
     gateway: Gateway, request: web.BaseRequest, started_s: float
 ) -> Exchange:
-    """The checks before anything is reserved.
+    """Validate a request before anything is reserved.
 
-    :raises RefusedError: saying what is wrong with the request.
+    :raises RefusedError: if the request is invalid or cannot be admitted.
     """
     table = gateway.table
     if table is None or not gateway.endpoints_known or not gateway.suspects.started:
@@ -49,17 +50,17 @@
     except RequestError as exc:
         raise RefusedError(did_not_run(Reason.BAD_REQUEST, None, str(exc))) from None
     body = await _read_body(request, table)
-    # What is in force when the whole request is read decides.
+    # The configuration may have changed while the body was read; the newest decides.
     table = gateway.table or table
     route = table.match(facts.host, request.raw_path.split("?", 1)[0])
     if route is None:
-        raise RefusedError(_denied(gateway, Reason.NO_ROUTE, "no such route"))
+        raise RefusedError(_not_configured(gateway, Reason.NO_ROUTE, "no such route"))
     account_id: AccountId | None = None
     priority = route.priority
     if table.needs_key and not route.public:
         account = table.account_by_key(facts.key) if facts.key else None
         if account is None:
-            raise RefusedError(_denied(gateway, Reason.BAD_KEY, "unknown key"))
+            raise RefusedError(_not_configured(gateway, Reason.BAD_KEY, "unknown key"))
         account_id = account.account_id
         priority = route.priority if account.priority is None else account.priority
     deadline_s = facts.deadline_s or DEFAULT_DEADLINE_S
@@ -76,8 +77,11 @@
     )
 
 
-def _denied(gateway: Gateway, reason: Reason, detail: str) -> Refusal:
-    """The refusal of what the configuration in force here does not have."""
+def _not_configured(gateway: Gateway, reason: Reason, detail: str) -> Refusal:
+    """Return the refusal of a route or key that the configuration does not contain.
+
+    It is final only while the known configuration is recent.
+    """
     now_s = time.monotonic()
     if gateway.may_deny(now_s):
         return did_not_run(reason, None, detail)
@@ -99,9 +103,9 @@
 
 
 async def reserve(gateway: Gateway, exchange: Exchange) -> Reservation | None:
-    """Set the request's largest cost aside.
+    """Reserve the maximum cost of a request.
 
-    :raises RefusedError: ``did_not_run``: for good only if the total cannot
+    :raises RefusedError: with ``did_not_run``; final only if the total budget cannot
         cover the request, whatever other entries hold.
     """
     facts, account = exchange.facts, exchange.account
@@ -111,9 +115,9 @@
         return None
     table = gateway.table
     urgent = table is not None and exchange.route.priority <= table.most_urgent
-    held = await gateway.keeper.reservations.reserve(account, tokens, urgent)
-    if held is not None:
-        return held
+    reservation = await gateway.keeper.reservations.reserve(account, tokens, urgent)
+    if reservation is not None:
+        return reservation
     now_s = time.monotonic()
     total_known = gateway.may_deny(now_s)
     raise RefusedError(
@@ -128,38 +132,44 @@
     total_known: bool,
     now_s: float,
 ) -> Refusal:
-    """The refusal of a request that lacks tokens of ``account`` here.
+    """Return the refusal of a request for which this entry lacks tokens.
 
-    For good only if the total cannot cover it; else it says when to come back.
+    It is final only if the total budget cannot cover the request; otherwise it says
+    when to retry.
 
-    :param tokens: what the request may cost at most.
-    :param total_known: whether the total may not have been raised unheard of.
+    :param tokens: maximum cost of the request.
+    :param total_known: whether the known total is up to date, so that no top-up can
+        have been missed.
     """
     book = keeper.book
     if total_known and book.exhausted(account, tokens):
         detail = f"{tokens} tokens do not fit what is left"
         return did_not_run(Reason.BUDGET_EXHAUSTED, None, detail)
     detail = f"{tokens} tokens, {book.left_tokens(account, now_s)} in hand here"
-    after_s = TOKENS_RETURN_S
+    retry_after_s = TOKENS_RETURN_S
     if not keeper.reachable:
         free_s = book.free_in_s(account, tokens, now_s)
-        after_s = CUT_LASTS_S if free_s is None else max(free_s, SOON_S)
-    return did_not_run(Reason.TOKENS_ELSEWHERE, after_s, detail)
+        retry_after_s = CUT_LASTS_S if free_s is None else max(free_s, SOON_S)
+    return did_not_run(Reason.TOKENS_ELSEWHERE, retry_after_s, detail)
 
 
-def settle(gateway: Gateway, exchange: Exchange, held: Reservation | None) -> None:
-    """Charge what the request used, or free it all if it did not run."""
-    if held is None:
+def settle(
+    gateway: Gateway, exchange: Exchange, reservation: Reservation | None
+) -> None:
+    """Charge the tokens used, or free the whole reservation if nothing ran."""
+    if reservation is None:
         return
     book = gateway.keeper.book
     if not exchange.may_have_run:
-        book.unreserve(held)
+        book.unreserve(reservation)
         return
     assert gateway.table is not None
     service = gateway.table.services.get(exchange.service)
-    per_event = service.event_tokens if service else 1
-    # One event more than was relayed: it may have been on its way to the
-    # caller when the stream ended.
-    whole = exchange.response is not None
-    out = (exchange.events.events + (1 if whole else 0)) * per_event
-    book.commit(held, exchange.facts.input_tokens + out, time.monotonic())
+    tokens_per_event = service.event_tokens if service else 1
+    # A stream is charged one event more than was relayed: that event may have been
+    # in transit to the caller when the stream ended.
+    streamed = exchange.response is not None
+    output_tokens = (exchange.events.events + (1 if streamed else 0)) * tokens_per_event
+    book.commit(
+        reservation, exchange.facts.input_tokens + output_tokens, time.monotonic()
+    )
