--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -1,4 +1,4 @@
-"""The way of one request: admit, reserve, choose, send, settle."""
+"""Handles one request: admit, reserve, choose an endpoint, send, settle."""
 
 import asyncio
 import logging
@@ -51,12 +51,12 @@
 _log = logging.getLogger(__name__)
 
 MOST_UNSENT = 3
-"""Endpoints that may fail to take the connection before a request is given up:
-more than a third of a service going dark at once is not what this helps with."""
+"""Endpoints that may be unreachable before a request is given up. It does not cover
+the simultaneous failure of more than a third of a service."""
 
 
 async def handle(gateway: Gateway, request: web.BaseRequest) -> web.StreamResponse:
-    """Answer one request of a caller."""
+    """Answer one request."""
     started_s = time.monotonic()
     gateway.in_flight += 1
     gateway.telemetry.in_flight.set(gateway.in_flight)
@@ -76,9 +76,9 @@
         return refuse(gateway, request, None, exc.refusal)
     gateway.exchanges.add(exchange)
     try:
-        _hold_back(gateway, exchange, time.monotonic())
+        _check_quarantine(gateway, exchange, time.monotonic())
         if gateway.stop is not None:
-            _take_leaving(gateway, exchange, gateway.stop, time.monotonic())
+            _admit_while_draining(gateway, exchange, gateway.stop, time.monotonic())
         return await _serve(gateway, exchange)
     except RefusedError as exc:
         return refuse(gateway, request, exchange, exc.refusal)
@@ -95,21 +95,21 @@
         gateway.exchanges.discard(exchange)
 
 
-def _hold_back(gateway: Gateway, exchange: Exchange, now_s: float) -> None:
-    """Refuse at once what no endpoint gets.
+def _check_quarantine(gateway: Gateway, exchange: Exchange, now_s: float) -> None:
+    """Refuse a quarantined request before anything is reserved.
 
-    :raises RefusedError: if endpoints ended under the request time and again.
+    :raises RefusedError: if endpoints crashed repeatedly while running the request.
     """
     if standing_of(gateway, exchange, now_s) is Standing.SHUT_OUT:
         raise RefusedError(held_back(gateway, exchange, now_s))
 
 
-def _take_leaving(
+def _admit_while_draining(
     gateway: Gateway, exchange: Exchange, stop: PlannedStop, now_s: float
 ) -> None:
-    """Take a request during a planned stop.
+    """Admit a request during a planned stop.
 
-    :raises RefusedError: if it may not end before the process does.
+    :raises RefusedError: if the request might still run when the process exits.
     """
     lasting = Lasting(
         most_s=exchange.ends_s - now_s,
@@ -124,37 +124,38 @@
 
 
 async def _serve(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
-    held: Reservation | None = None
+    reservation: Reservation | None = None
     try:
         async with asyncio.timeout_at(loop_time(exchange.ends_s)) as scope:
             exchange.scope = scope
-            held = await reserve(gateway, exchange)
+            reservation = await reserve(gateway, exchange)
             exchange.covered_s = time.monotonic()
-            return await _attempts(gateway, exchange)
+            return await _run_attempts(gateway, exchange)
     except TimeoutError:
         if exchange.response is not None:
             return cut(gateway, exchange, "the time is up")
-        raise RefusedError(_timed_out(exchange)) from None
+        raise RefusedError(_timeout_refusal(exchange)) from None
     finally:
         exchange.scope = None
-        settle(gateway, exchange, held)
+        settle(gateway, exchange, reservation)
 
 
-def _timed_out(exchange: Exchange) -> Refusal:
+def _timeout_refusal(exchange: Exchange) -> Refusal:
     if exchange.may_have_run:
         return may_have_run(Reason.DEADLINE, None, "no answer in time")
     return did_not_run(Reason.QUEUE_TIMEOUT, SOON_S, "not sent in time")
 
 
-async def _attempts(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
+async def _run_attempts(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
     now_s = time.monotonic()
     if exchange.ends_s <= now_s:
-        # A timeout in the past ends nothing before the first wait, behind the sending.
+        # An expired asyncio timeout takes effect at the next suspension only, which
+        # comes after the request was sent.
         raise TimeoutError
     budget = gateway.retry_budget(exchange.service, now_s)
     budget.request()
     while True:
-        result = await _one_attempt(gateway, exchange)
+        result = await _make_attempt(gateway, exchange)
         match result:
             case Success(None):
                 assert exchange.response is not None
@@ -162,21 +163,22 @@
                 answered(gateway, exchange, exchange.response.status)
                 return exchange.response
             case Success(PlainAnswer() as answer):
-                again = answer.status >= 500 and exchange.route.may_repeat
-                if not (again and _may_go_on(exchange) and budget.take()):
+                retry = answer.status >= 500 and exchange.route.may_repeat
+                if not (retry and _within_limits(exchange) and budget.take()):
                     answered(gateway, exchange, answer.status)
                     return plain(gateway, answer)
             case Failure(failure):
-                again = _repeatable(exchange, failure) and _may_go_on(exchange)
-                # What was never sent adds no load, so it costs no retry.
-                if not (again and (not failure.sent or budget.take())):
+                retry = _is_retryable(exchange, failure) and _within_limits(exchange)
+                # A request that was never sent added no load, so the next attempt
+                # takes nothing from the retry budget.
+                if not (retry and (not failure.sent or budget.take())):
                     return _give_up(gateway, exchange, failure)
 
 
-def _repeatable(exchange: Exchange, failure: AttemptFailure) -> bool:
+def _is_retryable(exchange: Exchange, failure: AttemptFailure) -> bool:
     if failure.reason in (Reason.NO_ENDPOINT, Reason.QUARANTINED):
-        # Nothing changes by asking again at once: the loop would hold the
-        # processor until the deadline, and every other request with it.
+        # An immediate retry gives the same result. The loop would occupy the event
+        # loop until the deadline and block every other request.
         return False
     if failure.verdict is Verdict.DID_NOT_RUN and not exchange.may_have_run:
         return True
@@ -185,7 +187,7 @@
     return exchange.route.may_repeat
 
 
-def _may_go_on(exchange: Exchange) -> bool:
+def _within_limits(exchange: Exchange) -> bool:
     left_s = exchange.ends_s - time.monotonic()
     sends = len(exchange.tried) - exchange.unsent
     return (
@@ -195,39 +197,39 @@
     )
 
 
-async def _one_attempt(gateway: Gateway, exchange: Exchange) -> AttemptResult:
+async def _make_attempt(gateway: Gateway, exchange: Exchange) -> AttemptResult:
     now_s = time.monotonic()
     if gateway.endpoints_late(now_s):
-        return Failure(_not_placed("what is known of endpoints is too old"))
+        return Failure(_no_endpoint("what is known of endpoints is too old"))
     standing = standing_of(gateway, exchange, now_s)
     if standing is Standing.SHUT_OUT:
         return Failure(not_sent(gateway, exchange, now_s))
     chosen = choose(gateway, exchange, standing, now_s)
     if chosen is None:
-        return Failure(_not_placed("none has room"))
+        return Failure(_no_endpoint("none has room"))
     if standing is Standing.CLEAR:
         return await _send(gateway, exchange, chosen)
     if standing is Standing.WATCHED:
         return await _send_suspect(gateway, exchange, chosen)
-    return await _try_alone(gateway, exchange, chosen)
+    return await _run_trial(gateway, exchange, chosen)
 
 
-async def _try_alone(
+async def _run_trial(
     gateway: Gateway, exchange: Exchange, chosen: Choice
 ) -> AttemptResult:
     if not await claim(gateway, exchange, chosen.endpoint):
         return Failure(not_sent(gateway, exchange, time.monotonic()))
-    free = release
+    end_trial = release
     try:
         if not gateway.endpoints.takes_work(chosen.endpoint):
-            return Failure(_not_placed("the endpoint left as it was claimed"))
+            return Failure(_no_endpoint("the endpoint left as it was claimed"))
         result = await _send_suspect(gateway, exchange, chosen)
         match result:
             case Failure(failure) if failure.broke:
-                free = release_when_known
+                end_trial = release_when_known
         return result
     finally:
-        free(gateway, exchange)
+        end_trial(gateway, exchange)
 
 
 async def _send_suspect(
@@ -269,16 +271,16 @@
             if failure.broke:
                 gateway.ended_endpoints.broke(endpoint, exchange.fingerprint)
             if failure.gone:
-                # While registrations cannot be read, the next request would be sent
-                # there too, and refused if its route allows one attempt.
+                # While registrations cannot be read, the next request would also be
+                # sent there, and be refused if its route allows one attempt only.
                 book.disowned(endpoint.endpoint_id, time.monotonic())
             if failure.verdict is Verdict.DID_NOT_RUN:
                 exchange.may_have_run = ran_before
     return result
 
 
-def _not_placed(detail: str) -> AttemptFailure:
-    """There is no endpoint that the request may be sent to."""
+def _no_endpoint(detail: str) -> AttemptFailure:
+    """Return the failure of a request that may be sent to no endpoint."""
     return AttemptFailure(
         Reason.NO_ENDPOINT, Verdict.DID_NOT_RUN, False, detail, sent=False
     )
@@ -293,8 +295,8 @@
         raise RefusedError(may_have_run(failure.reason, None, failure.detail))
     if failure.reason is Reason.QUARANTINED:
         raise RefusedError(held_back(gateway, exchange, time.monotonic()))
-    after_s = SHORTLY_S if failure.reason is Reason.NO_ENDPOINT else SOON_S
+    retry_after_s = SHORTLY_S if failure.reason is Reason.NO_ENDPOINT else SOON_S
     reason = failure.reason
     if reason is Reason.UPSTREAM_FAILED:
         reason = Reason.NO_ENDPOINT
-    raise RefusedError(did_not_run(reason, after_s, failure.detail))
+    raise RefusedError(did_not_run(reason, retry_after_s, failure.detail))
