--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Sending one request to one endpoint and relaying its answer."""
+"""Sends a request to one endpoint and relays the answer."""
 
 import asyncio
 import time
@@ -27,11 +27,11 @@
 _BROKEN = (aiohttp.ClientError, OSError)
 
 AttemptResult = Result["PlainAnswer | None", AttemptFailure]
-"""``Success(None)`` when a stream was relayed to its end."""
+"""``Success(None)`` if a stream was relayed completely."""
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection."""
+    """The caller closed the connection."""
 
 
 async def attempt(
@@ -39,7 +39,7 @@
 ) -> AttemptResult:
     """Send ``exchange`` to ``endpoint`` and wait for its answer.
 
-    :raises CallerGoneError: if the caller left while the answer was relayed.
+    :raises CallerGoneError: if the caller disconnects while the answer is relayed.
     """
     request = exchange.request
     envelope = Envelope(
@@ -57,7 +57,7 @@
         async with connections.until_lost():
             return await _send(gateway, exchange, sent, connections, url, envelope)
     except EndpointLostError:
-        return _spoilt("the endpoint started again")
+        return _unusable_answer("the endpoint started again")
 
 
 async def _send(
@@ -86,16 +86,16 @@
             )
         )
     except _BROKEN as exc:
-        return _failure(Reason.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, exc)
-    whole = False
+        return _connection_failure(Reason.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, exc)
+    complete = False
     try:
-        result = await _take(gateway, exchange, sent, response)
-        whole = isinstance(result, Success)
+        result = await _handle_response(gateway, exchange, sent, response)
+        complete = isinstance(result, Success)
         return result
     finally:
-        # An endpoint stops work when its connection closes, and what is left
-        # of a spoilt answer must not meet the next request.
-        if whole:
+        # Closing the connection makes the endpoint stop its work, and keeps the rest
+        # of an invalid answer away from the next request on this connection.
+        if complete:
             response.release()
         else:
             response.close()
@@ -105,13 +105,13 @@
     return request.body_exists or request.method in ("POST", "PUT", "PATCH")
 
 
-async def _take(
+async def _handle_response(
     gateway: Gateway, exchange: Exchange, sent: Sent, response: aiohttp.ClientResponse
 ) -> AttemptResult:
     facts = decode_answer(response.status, response.headers)
     if facts.request_id not in (None, exchange.facts.request_id):
-        # A second answer to an earlier request on this connection.
-        return _spoilt("answer to another request")
+        # The connection delivered another answer to an earlier request.
+        return _unusable_answer("answer to another request")
     if facts.did_not_run:
         return Failure(
             AttemptFailure(
@@ -122,25 +122,25 @@
                 gone=facts.wrong_endpoint,
             )
         )
-    if response.status < 300 and not _genuine(facts):
-        return _spoilt("success without signature or id")
+    if response.status < 300 and not _is_authentic(facts):
+        return _unusable_answer("success without signature or id")
     if exchange.route.stream and response.status == 200:
         return await _relay(gateway, exchange, sent, response)
-    return await _read_whole(sent, response)
+    return await _read_answer(sent, response)
 
 
-def _genuine(facts: AnswerFacts) -> bool:
+def _is_authentic(facts: AnswerFacts) -> bool:
     return facts.sealed and facts.request_id is not None
 
 
-async def _read_whole(sent: Sent, response: aiohttp.ClientResponse) -> AttemptResult:
+async def _read_answer(sent: Sent, response: aiohttp.ClientResponse) -> AttemptResult:
     protocol = _protocol(response)
     try:
         body = await response.read()
     except _BROKEN as exc:
-        return _failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
+        return _connection_failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
     if _was_reset(response, protocol):
-        return _spoilt("an answer without length was reset")
+        return _unusable_answer("an answer without length was reset")
     sent.answered(time.monotonic())
     headers = returned_headers(response.headers)
     return Success(PlainAnswer(response.status, headers, body))
@@ -156,25 +156,25 @@
         try:
             data = await response.content.readany()
         except _BROKEN as exc:
-            return _failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
+            return _connection_failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
         if not data:
             break
-        whole = events.feed(data)
-        if whole is None:
+        received = events.feed(data)
+        if received is None:
             continue
         if exchange.response is None:
             exchange.first_s = time.monotonic()
             sent.answered(exchange.first_s)
-            await _open(gateway, exchange, response)
-        await _write(exchange, whole.data)
+            await _start_stream(gateway, exchange, response)
+        await _write(exchange, received.data)
     if events.partial or _was_reset(response, protocol):
-        return _spoilt("a stream ended in the middle of an event")
+        return _unusable_answer("a stream ended in the middle of an event")
     if exchange.response is None:
-        return _spoilt("a stream without events")
+        return _unusable_answer("a stream without events")
     return Success(None)
 
 
-async def _open(
+async def _start_stream(
     gateway: Gateway, exchange: Exchange, response: aiohttp.ClientResponse
 ) -> None:
     answer = web.StreamResponse(
@@ -201,9 +201,9 @@
 
 
 async def finish(exchange: Exchange) -> None:
-    """End the caller's answer, which was relayed whole.
+    """End the answer to the caller after a stream was relayed completely.
 
-    :raises CallerGoneError: if the caller left just before.
+    :raises CallerGoneError: if the caller has disconnected.
     """
     assert exchange.response is not None
     try:
@@ -220,25 +220,27 @@
 def _was_reset(
     response: aiohttp.ClientResponse, protocol: asyncio.BaseProtocol | None
 ) -> bool:
-    """Whether an answer that ends with its connection ended by a reset.
+    """Whether a connection reset ended an answer that has no explicit length.
 
-    The library takes any end of the connection for the end of such an
-    answer; a reset on the way would make half an answer look whole.
+    aiohttp takes any end of the connection as the end of such an answer, so a reset
+    would make a truncated answer look complete.
     """
-    framed = (
+    has_length = (
         "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
     )
-    if framed or protocol is None:
+    if has_length or protocol is None:
         return False
     exception = getattr(protocol, "exception", lambda: None)()
     return isinstance(exception, aiohttp.ClientOSError)
 
 
-def _failure(reason: Reason, verdict: Verdict, exc: BaseException) -> AttemptResult:
+def _connection_failure(
+    reason: Reason, verdict: Verdict, exc: BaseException
+) -> AttemptResult:
     detail = f"{type(exc).__name__}: {exc}"
     return Failure(AttemptFailure(reason, verdict, True, detail))
 
 
-def _spoilt(detail: str) -> AttemptResult:
+def _unusable_answer(detail: str) -> AttemptResult:
     failure = AttemptFailure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, True, detail)
     return Failure(failure)
