--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way: what it asks, what it may still do, what it got."""
+"""The state of one request while it is processed."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class PlainAnswer:
-    """An endpoint's whole answer."""
+    """An endpoint's answer that was read completely before it is passed on."""
 
     status: int
     headers: CIMultiDict[str]
@@ -33,13 +33,13 @@
 
 @attrs.frozen
 class AttemptFailure:
-    """An attempt that gave the caller no answer.
+    """An attempt that yielded no answer for the caller.
 
-    :ivar hard: the endpoint did not connect, broke off or stayed silent.
-    :ivar detail: what was seen, for the log.
+    :ivar hard: the endpoint did not accept the connection, broke it or did not respond.
+    :ivar detail: the observed error, for the log.
     :ivar sent: whether anything was sent to the endpoint.
-    :ivar gone: another endpoint has its address now: it was not reached, and it is no
-        longer there.
+    :ivar gone: another endpoint has its address now, so the endpoint was not reached
+        and no longer exists.
     """
 
     reason: Reason
@@ -51,27 +51,30 @@
 
     @property
     def broke(self) -> bool:
-        """Whether the endpoint broke off what it had been sent."""
+        """Whether the endpoint failed after the request was sent to it."""
         return self.sent and self.hard and self.verdict is Verdict.MAY_HAVE_RUN
 
 
 @attrs.define(eq=False)
 class Exchange:
-    """One caller's request, from its first byte to the end of its answer.
+    """One request, from its first byte to the end of its answer.
 
-    :ivar started_s: when it was read.
-    :ivar ends_s: when its answer must be out: the caller's deadline or the
+    Times are on the monotonic clock.
+
+    :ivar started_s: when the request was read.
+    :ivar ends_s: by when the answer must be sent: the caller's deadline or the
         route's timeout, whichever is sooner.
-    :ivar tried: endpoints chosen for it, in order.
-    :ivar unsent: how many of them were not reached: they did not take the connection,
-        or another endpoint has their address now.
-    :ivar covered_s: when its largest cost was set aside, or found to need none.
-    :ivar first_s: when the first piece of its answer came.
-    :ivar choice: the endpoint it was last sent to, and what decided it.
-    :ivar may_have_run: whether some endpoint may have run it.
-    :ivar response: the answer's head went out to the caller.
-    :ivar events: the stream's events so far.
-    :ivar scope: ends its wait for tokens and its attempts at ``ends_s``.
+    :ivar tried: endpoints chosen so far, in order.
+    :ivar unsent: how many of them were not reached: they did not accept the
+        connection, or another endpoint has their address now.
+    :ivar covered_s: when the maximum cost was reserved, or found to need no
+        reservation.
+    :ivar first_s: when the first events of the answer arrived.
+    :ivar choice: the endpoint of the last attempt, and its predicted times.
+    :ivar may_have_run: whether an endpoint may have run the request.
+    :ivar response: the stream to the caller, once it has begun.
+    :ivar events: parser of the stream, which counts the events relayed so far.
+    :ivar scope: ends the wait for tokens and the attempts at ``ends_s``.
     """
 
     request: web.BaseRequest
@@ -97,7 +100,7 @@
 
     @property
     def place(self) -> Place:
-        """The first half of its fingerprint, made when first asked for."""
+        """The first half of the fingerprint, computed on first use."""
         if self._place is None:
             line = RequestLine(
                 method=self.request.method,
@@ -111,18 +114,18 @@
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What a repeat of it has as well, made when first asked for."""
+        """The value that all repeats of the request share, computed on first use."""
         if self._fingerprint is None:
             self._fingerprint = fingerprint_of(self.place, self.body)
         return self._fingerprint
 
     @property
     def need(self) -> Need:
-        """What it needs of an endpoint."""
+        """What the request needs of an endpoint."""
         return Need(self.service, self.facts.parts)
 
     def end_by(self, at_s: float) -> None:
-        """Have it end at ``at_s`` at the latest."""
+        """Set the deadline to ``at_s`` unless it is already earlier."""
         if at_s >= self.ends_s:
             return
         self.ends_s = at_s
@@ -131,5 +134,5 @@
 
     @property
     def resume_from(self) -> str | None:
-        """The event behind which the next attempt goes on."""
+        """The id of the event after which the next attempt resumes the stream."""
         return self.events.last_id or self.facts.last_event_id
