--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request ended: the answer to the caller, one log line, one count."""
+"""Outcomes of requests: the answer to the caller, one log line and one count."""
 
 import logging
 import math
@@ -17,7 +17,7 @@
 
 
 def cut(gateway: Gateway, exchange: Exchange, detail: str) -> web.StreamResponse:
-    """End a begun answer so that it does not look whole."""
+    """Abort a stream that has begun, so that the caller sees it as incomplete."""
     assert exchange.response is not None
     count(gateway, exchange, "cut")
     log_event(
@@ -37,7 +37,7 @@
 
 
 def plain(gateway: Gateway, answer: PlainAnswer) -> web.StreamResponse:
-    """The response that carries an endpoint's whole answer."""
+    """Make the response that carries an endpoint's complete answer."""
     response = web.Response(
         status=answer.status, headers=answer.headers, body=answer.body
     )
@@ -47,7 +47,7 @@
 
 
 def answered(gateway: Gateway, exchange: Exchange, status: int) -> None:
-    """The caller got its endpoint's answer, good or not."""
+    """Log and count a request whose caller got an endpoint's answer of any status."""
     count(gateway, exchange, "answered" if status < 500 else "endpoint_failed")
     choice = exchange.choice
     assert choice is not None
@@ -62,18 +62,18 @@
         target_ms=round(exchange.route.target_s * 1_000),
         tried=exchange.tried,
         events=exchange.events.events,
-        covered_ms=_after_ms(exchange, exchange.covered_s),
+        covered_ms=_since_start_ms(exchange, exchange.covered_s),
         predicted_ms=round(choice.predicted_s * 1_000),
         work_ms=round(choice.work_s * 1_000),
-        first_ms=_after_ms(exchange, exchange.first_s),
-        took_ms=_after_ms(exchange, now_s),
+        first_ms=_since_start_ms(exchange, exchange.first_s),
+        took_ms=_since_start_ms(exchange, now_s),
     )
 
 
 def taken_leaving(
     gateway: Gateway, exchange: Exchange, stop: PlannedStop, now_s: float
 ) -> None:
-    """A request was taken though a planned stop has begun."""
+    """Log a request that was admitted after a planned stop had begun."""
     log_event(
         _log,
         Event.TAKEN_LEAVING,
@@ -84,7 +84,7 @@
     )
 
 
-def _after_ms(exchange: Exchange, at_s: float | None) -> int | None:
+def _since_start_ms(exchange: Exchange, at_s: float | None) -> int | None:
     return None if at_s is None else round((at_s - exchange.started_s) * 1_000)
 
 
@@ -94,11 +94,11 @@
     exchange: Exchange | None,
     refusal: Refusal,
 ) -> web.StreamResponse:
-    """Answer with a refusal or failure of our own."""
-    ran = refusal.verdict is Verdict.MAY_HAVE_RUN
+    """Answer with a refusal or failure that this entry generates."""
+    may_have_run = refusal.verdict is Verdict.MAY_HAVE_RUN
     log_event(
         _log,
-        Event.FAILED if ran else Event.REFUSED,
+        Event.FAILED if may_have_run else Event.REFUSED,
         request_id=exchange.facts.request_id if exchange else None,
         path=request.path,
         route=exchange.route.name if exchange else None,
@@ -120,7 +120,7 @@
 
 
 def count(gateway: Gateway, exchange: Exchange | None, outcome: str) -> None:
-    """Count how a request ended."""
+    """Count the outcome of a request."""
     route = exchange.route.name if exchange else "none"
     gateway.telemetry.outcomes.labels(route, outcome).inc()
 
@@ -128,7 +128,7 @@
 def attempt_failed(
     gateway: Gateway, exchange: Exchange, endpoint: str, failure: AttemptFailure
 ) -> None:
-    """One endpoint gave no good answer."""
+    """Log and count an attempt that failed at ``endpoint``."""
     gateway.telemetry.attempts_failed.labels(endpoint, failure.reason.value).inc()
     log_event(
         _log,
--- a/src/celerytrack/gateway/refusals.py
+++ b/src/celerytrack/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""A refusal as a response to the caller."""
+"""Responses that carry refusals."""
 
 import json
 
@@ -8,17 +8,17 @@
 
 
 class RefusedError(Exception):
-    """The request ends with a refusal or failure of our own."""
+    """The request ends with a refusal or failure that this entry generates."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
         self.refusal = refusal
 
 
-def refusal_response(refusal: Refusal, leaving: bool) -> web.Response:
-    """The response that carries ``refusal``.
+def refusal_response(refusal: Refusal, close_connection: bool) -> web.Response:
+    """Make the response that carries ``refusal``.
 
-    :param leaving: whether the connection should not be used again.
+    :param close_connection: whether the caller must not reuse the connection.
     """
     response = web.Response(
         status=refusal.http_status,
@@ -27,6 +27,6 @@
     )
     if refusal.retry_after_s is not None:
         response.headers["Retry-After"] = f"{refusal.retry_after_s:.3f}"
-    if leaving:
+    if close_connection:
         response.force_close()
     return response
