--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -1,4 +1,7 @@
-"""What becomes of a request that may end endpoints: sent, tried alone, or held back."""
+"""Quarantine of requests that may crash endpoints.
+
+A suspect is sent, tried in isolation by one entry at a time, or refused.
+"""
 
 import asyncio
 import logging
@@ -17,13 +20,14 @@
 _log = logging.getLogger(__name__)
 
 TRIAL_USUALLY_S = 1.0
-"""When to come back while a request is tried: most trials have ended by then."""
+"""``Retry-After`` while a request is on trial: most trials have ended by then."""
 NOT_BY_ITSELF_S = 3_600.0
-"""When to come back if only an operator's word helps: it may be given meanwhile."""
+"""``Retry-After`` if only an operator can lift the quarantine, who may do so
+meanwhile."""
 
 
 def standing_of(gateway: Gateway, exchange: Exchange, now_s: float) -> Standing:
-    """What the request of ``exchange`` is taken for now."""
+    """Return the current standing of a request."""
     book = gateway.suspects.book
     if not book or not book.watches(exchange.place):
         return Standing.CLEAR
@@ -32,17 +36,20 @@
 
 
 def held_back(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
-    """The refusal of a request that no endpoint gets now."""
-    back_in_s = gateway.suspects.book.back_in_s(exchange.fingerprint, now_s)
-    if back_in_s is None:
-        back_in_s = NOT_BY_ITSELF_S
+    """Return the refusal of a quarantined request."""
+    allowed_in_s = gateway.suspects.book.back_in_s(exchange.fingerprint, now_s)
+    if allowed_in_s is None:
+        allowed_in_s = NOT_BY_ITSELF_S
     detail = f"endpoints ended under request {exchange.fingerprint.hex()}"
-    after_s = max(back_in_s, TRIAL_USUALLY_S)
-    return did_not_run(Reason.QUARANTINED, after_s, detail)
+    retry_after_s = max(allowed_in_s, TRIAL_USUALLY_S)
+    return did_not_run(Reason.QUARANTINED, retry_after_s, detail)
 
 
 def not_sent(gateway: Gateway, exchange: Exchange, now_s: float) -> AttemptFailure:
-    """The same of a request that may have been sent before."""
+    """Return the attempt failure of a quarantined request.
+
+    An earlier attempt may have sent the request.
+    """
     refusal = held_back(gateway, exchange, now_s)
     return AttemptFailure(
         Reason.QUARANTINED, Verdict.DID_NOT_RUN, False, refusal.detail, sent=False
@@ -52,23 +59,28 @@
 def choose(
     gateway: Gateway, exchange: Exchange, standing: Standing, now_s: float
 ) -> Choice | None:
-    """The endpoint for a request: suspects are kept apart from each other, and others
-    from a request that is tried alone, where there is room."""
-    apart = _apart(gateway, standing, now_s)
-    chosen = _choose(gateway, exchange, [*exchange.tried, *apart], now_s)
-    if chosen is None and apart:
+    """Choose an endpoint for a request.
+
+    While other endpoints have room, no two suspects share an endpoint, and no request
+    shares one with a request on trial.
+    """
+    avoided = _endpoints_to_avoid(gateway, standing, now_s)
+    chosen = _choose(gateway, exchange, [*exchange.tried, *avoided], now_s)
+    if chosen is None and avoided:
         chosen = _choose(gateway, exchange, exchange.tried, now_s)
     return chosen
 
 
-def _apart(gateway: Gateway, standing: Standing, now_s: float) -> set[EndpointId]:
+def _endpoints_to_avoid(
+    gateway: Gateway, standing: Standing, now_s: float
+) -> set[EndpointId]:
     book = gateway.suspects.book
     if not book:
         return set()
-    apart = book.endpoints_on_trial(now_s)
+    endpoints = book.endpoints_on_trial(now_s)
     if standing is not Standing.CLEAR:
-        apart.update(gateway.suspects_at.elements())
-    return apart
+        endpoints.update(gateway.suspects_at.elements())
+    return endpoints
 
 
 def _choose(
@@ -85,9 +97,11 @@
 
 
 async def claim(gateway: Gateway, exchange: Exchange, endpoint: Endpoint) -> bool:
-    """Begin to try a request alone; whether this entry may.
+    """Begin an isolated trial of a request.
+
+    The other entries are notified before the request is sent.
 
-    The others are told before it is sent.
+    :return: whether this entry may run the trial.
     """
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
@@ -108,20 +122,23 @@
 
 
 def release(gateway: Gateway, exchange: Exchange) -> None:
-    """A trial showed nothing; another may begin."""
+    """End an inconclusive trial, so that another may begin."""
     keeper = gateway.suspects
     keeper.publish(keeper.book.release(exchange.fingerprint))
 
 
 def release_when_known(gateway: Gateway, exchange: Exchange) -> None:
-    """A trial broke off: another may begin once it is known whether the endpoint ended,
-    which ends this one by itself."""
+    """End an interrupted trial once it is known whether the endpoint crashed.
+
+    A crash that is found meanwhile ends the trial itself.
+    """
     loop = asyncio.get_running_loop()
     loop.call_later(ENDING_KNOWN_S, release, gateway, exchange)
 
 
 def ended_well(gateway: Gateway, exchange: Exchange) -> None:
-    """An endpoint answered the request whole: what ended others was not its doing."""
+    """Clear a request after a complete answer: it did not cause the crashes of other
+    endpoints."""
     keeper = gateway.suspects
     if not keeper.book or not keeper.book.watches(exchange.place):
         return
