--- a/src/celerytrack/gateway/suspect_keeper.py
+++ b/src/celerytrack/gateway/suspect_keeper.py
@@ -1,8 +1,8 @@
-"""The task that shares with all entries which requests end endpoints.
+"""Replication of suspected poison requests among all entries.
 
-What this entry finds goes to the others twice: at once in a note, which may be lost,
-and in this entry's record on the log, which outlives the entry and is read by whoever
-starts or comes back. There is no record while there is nothing to tell.
+Each finding of this entry is published twice: at once in a note, which may be lost, and
+in this entry's record on the log, which outlives the entry and is read by entries that
+start or reconnect. An entry without findings has no record.
 """
 
 import asyncio
@@ -33,24 +33,27 @@
 _log = logging.getLogger(__name__)
 
 READ_WAIT_S = 2.0
-"""How long the store may hold a read: a record is read as it is written, and a store
-that is silent is found out within the time in which all must know."""
+"""Longest time the store may hold a read open. A held read returns as soon as a record
+is written, and an unresponsive store is detected within the time in which all entries
+must know of a suspect."""
 READ_PAUSE_S = 0.02
-"""Pause between two reads: records that come together are read together."""
+"""Pause between two reads, so that records written together are read together."""
 TOLD_WITHIN_S = 0.5
-"""Longest wait until the others can know of a trial: a slow store answers in less."""
+"""Longest wait until a trial is on the log, where the other entries can read it. A slow
+store answers in less."""
 WRITE_PAUSE_S = 0.1
 """Shortest time between two records of this entry."""
 PAUSE_PER_ENTRY_S = 0.002
-"""What each entry adds to it, so that all together write no more than a store takes."""
+"""Added to ``WRITE_PAUSE_S`` for each entry, so that the total write rate of the fleet
+stays within what the store accepts."""
 
 
 class SuspectKeeper:
-    """Owns this entry's record of suspects, and reads those of the others.
+    """Writes this entry's record of suspects and reads the records of other entries.
 
-    :param boot_id: names this start as a writer.
+    :param boot_id: identifies this run of the process as a writer.
     :param tell: sends a note to the other entries.
-    :param on_change: told after others' findings were taken.
+    :param on_change: called after findings of another entry are merged.
     """
 
     def __init__(
@@ -73,114 +76,117 @@
         self._tail = KeyedTail(
             store, SUSPECTS_TOPIC, self._apply, self._reload, eras=eras
         )
-        self._on_log = b""
+        self._logged_value = b""
         self._sequence = 0
         self._changes = 0
-        self._written = 0
-        self._writing = True
-        self._due = asyncio.Event()
-        self._done = asyncio.Event()
+        self._written_changes = 0
+        self._log_writable = True
+        self._write_due = asyncio.Event()
+        self._write_done = asyncio.Event()
 
     async def run(self) -> None:
-        """Read what is known, then keep up with it and write for ever."""
+        """Load all records, then follow the topic and write changes until cancelled."""
         await self._tail.load()
         self.started = True
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._tail.follow(READ_PAUSE_S, READ_WAIT_S))
-            tasks.create_task(self._write_for_ever())
+            tasks.create_task(self._write_changes())
 
     def publish(self, findings: Findings) -> None:
-        """Tell the others, now and on the log."""
+        """Send findings to the other entries in a note and through the log."""
         if findings.empty:
             return
         self._tell(findings)
-        self._change()
+        self._schedule_write()
 
     def hear(self, findings: Findings) -> None:
-        """Take a note of another entry."""
+        """Merge the findings in a note of another entry."""
         self.book.heard(findings, False, time.monotonic())
         self._on_change(findings)
 
     async def claim(self, trial: Trial, others: Sequence[EntryId]) -> bool:
-        """Begin to try a request alone; whether this entry may.
+        """Begin an isolated trial of a request.
 
-        While the log takes nothing, some may not hear of it: then the first in line
-        among the entries alive may, and no other.
+        While the log accepts no records, some entries may not learn of the trial. Then
+        only the entry that comes first in rendezvous order among the live ones may run
+        it.
 
-        :param others: the other entries alive.
+        :param others: the other live entries.
+        :return: whether this entry may run the trial.
         """
         findings = self.book.claim(trial, time.monotonic())
         if findings is None:
             return False
         self.publish(findings)
         try:
-            told = self._writing and await self._is_on_log(TOLD_WITHIN_S)
+            logged = self._log_writable and await self._wait_until_logged(TOLD_WITHIN_S)
         except asyncio.CancelledError:
-            # The caller left meanwhile, or its time is up.
+            # The caller has disconnected, or the deadline has passed.
             self.publish(self.book.release(trial.fingerprint))
             raise
-        may = told or self._first_in_line(trial.fingerprint, others)
-        if may and self.book.holds(trial.fingerprint):
+        allowed = logged or self._is_preferred(trial.fingerprint, others)
+        if allowed and self.book.holds(trial.fingerprint):
             return True
         self.publish(self.book.release(trial.fingerprint))
         return False
 
-    def _first_in_line(
+    def _is_preferred(
         self, fingerprint: Fingerprint, others: Sequence[EntryId]
     ) -> bool:
         first = rendezvous(fingerprint.hex(), [*others, self._entry_id], 1)
         return first == [self._entry_id]
 
-    async def _is_on_log(self, within_s: float) -> bool:
-        """Wait until all that was published is on the log; whether it is in time."""
+    async def _wait_until_logged(self, timeout_s: float) -> bool:
+        """Wait until all published changes are on the log; whether they are in time."""
         wanted = self._changes
         try:
-            async with asyncio.timeout(within_s):
-                while self._written < wanted:
-                    await self._done.wait()
+            async with asyncio.timeout(timeout_s):
+                while self._written_changes < wanted:
+                    await self._write_done.wait()
         except TimeoutError:
             return False
         return True
 
     # -- writing ----------------------------------------------------------------
 
-    def _change(self) -> None:
+    def _schedule_write(self) -> None:
         self._changes += 1
-        self._due.set()
+        self._write_due.set()
 
-    async def _write_for_ever(self) -> None:
+    async def _write_changes(self) -> None:
         while True:
-            await self._due.wait()
-            self._due.clear()
+            await self._write_due.wait()
+            self._write_due.clear()
             changes = self._changes
-            value = self._value()
-            if value != self._on_log:
+            value = self._encode_record()
+            if value != self._logged_value:
                 await self._append(value)
-            self._written = changes
-            self._done.set()
-            self._done = asyncio.Event()
+            self._written_changes = changes
+            self._write_done.set()
+            self._write_done = asyncio.Event()
             await asyncio.sleep(WRITE_PAUSE_S + self.entries * PAUSE_PER_ENTRY_S)
 
-    def _value(self) -> bytes:
+    def _encode_record(self) -> bytes:
         record = self.book.record(time.monotonic(), time.time())
         return b"" if record.empty else encode_findings(record)
 
     async def _append(self, value: bytes) -> None:
-        """Append ``value`` as this entry's record, until the store has answered."""
+        """Append ``value`` as this entry's record, retrying until the store answers."""
         pause_s = RETRY_S
         while True:
-            # Sent again with other bytes, the number would get the first's answer.
+            # A retry repeats the same bytes: the store answers a repeated sequence
+            # number as it answered the first append, whatever the bytes are.
             writer = Writer(self._name, 1, self._sequence)
             match await self._store.append(
                 SUSPECTS_TOPIC, self._entry_id, value, writer
             ):
                 case Success(_):
                     self._sequence += 1
-                    self._on_log = value
-                    self._writing = True
+                    self._logged_value = value
+                    self._log_writable = True
                     return
                 case Failure(error):
-                    self._failed(error.kind, error.detail)
+                    self._log_write_failure(error.kind, error.detail)
                     if error.kind is StoreErrorKind.OUT_OF_SEQUENCE:
                         expected = error.expected
                         following = self._sequence + 1
@@ -188,8 +194,8 @@
             await asyncio.sleep(pause_s)
             pause_s = min(2 * pause_s, RETRY_MAX_S)
 
-    def _failed(self, kind: StoreErrorKind, detail: str) -> None:
-        self._writing = False
+    def _log_write_failure(self, kind: StoreErrorKind, detail: str) -> None:
+        self._log_writable = False
         log_event(
             _log,
             Event.SUSPECTS_NOT_WRITTEN,
@@ -201,10 +207,10 @@
     # -- reading -----------------------------------------------------------------
 
     def _apply(self, record: KeyedRecord) -> None:
-        mine = record.key == self._entry_id
+        is_own = record.key == self._entry_id
         value = record.value or b""
-        if mine and self.started:
-            self._read_own(value)
+        if is_own and self.started:
+            self._check_own_record(value)
             return
         entry_id = EntryId(record.key)
         try:
@@ -214,20 +220,23 @@
             log_event(_log, Event.NOTE_REJECTED, logging.ERROR, detail=detail)
             return
         now_s = time.monotonic()
-        if mine:
-            self._on_log = value
+        if is_own:
+            self._logged_value = value
             self.book.adopt(findings, now_s)
         else:
             self.book.heard(findings, True, now_s)
         self._on_change(findings)
 
-    def _read_own(self, value: bytes) -> None:
-        """An append of before landed late, or the log came back from a copy: what it
-        holds of this entry is not what was written last."""
-        if value != self._on_log:
-            self._on_log = value
-            self._change()
+    def _check_own_record(self, value: bytes) -> None:
+        """Write this entry's record again if the log holds another version of it.
+
+        This happens when an earlier append takes effect late, or when the log was
+        restored from an older copy.
+        """
+        if value != self._logged_value:
+            self._logged_value = value
+            self._schedule_write()
 
     def _reload(self, keys: set[str]) -> None:
-        if self.started and self._on_log and self._entry_id not in keys:
-            self._read_own(b"")
+        if self.started and self._logged_value and self._entry_id not in keys:
+            self._check_own_record(b"")
