--- a/src/celerytrack/gateway/ended_endpoints.py
+++ b/src/celerytrack/gateway/ended_endpoints.py
@@ -1,7 +1,8 @@
-"""Whether an endpoint ended under the requests that broke there.
+"""Detection of endpoints that crashed while they ran requests.
 
-A broken request alone tells little: a connection was reset, a link was cut, or the
-process ended. Where a process has ended, its address refuses connections.
+An interrupted request alone is weak evidence: the connection may have been reset, the
+link may have failed, or the process may have crashed. The address of a crashed process
+refuses connections.
 """
 
 import asyncio
@@ -15,14 +16,14 @@
 from celerytrack.process_end import has_ended
 
 STARTED_AGAIN_S = 3.0
-"""How long a process that starts again at once, under its id, may take to say so."""
+"""Time in which a process that restarts at once under the same id registers again."""
 
 
 @attrs.frozen
 class EndedEndpoint:
-    """An endpoint ended while it had requests.
+    """An endpoint that crashed while it ran requests.
 
-    :ivar broken: the requests of this entry that broke there.
+    :ivar broken: the requests of this entry that were interrupted.
     """
 
     endpoint: Endpoint
@@ -30,10 +31,11 @@
 
 
 class EndedEndpoints:
-    """Finds out which endpoints ended under their requests.
+    """Checks whether endpoints crashed after requests to them were interrupted.
 
-    :param superseded: whether another start has the id of an endpoint.
-    :param take: told each such endpoint.
+    :param superseded: whether a later incarnation has registered under an endpoint's
+        id.
+    :param take: called with each endpoint that crashed.
     """
 
     def __init__(
@@ -43,36 +45,36 @@
     ) -> None:
         self._superseded = superseded
         self._take = take
-        self._broken: dict[EndpointId, set[Fingerprint]] = {}
+        self._interrupted: dict[EndpointId, set[Fingerprint]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def broke(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
-        """A request broke at ``endpoint``.
+        """Check ``endpoint`` for a crash after a request to it was interrupted.
 
-        One that leaves ends by itself, and not by what it runs.
+        A draining endpoint is not checked: it exits on its own, whatever it runs.
         """
         if endpoint.registration.draining or endpoint.gone_at_s is not None:
             return
-        known = self._broken.get(endpoint.endpoint_id)
-        if known is not None:
-            known.add(fingerprint)
+        interrupted = self._interrupted.get(endpoint.endpoint_id)
+        if interrupted is not None:
+            interrupted.add(fingerprint)
             return
-        self._broken[endpoint.endpoint_id] = {fingerprint}
-        task = asyncio.get_running_loop().create_task(self._find_out(endpoint))
+        self._interrupted[endpoint.endpoint_id] = {fingerprint}
+        task = asyncio.get_running_loop().create_task(self._check_for_crash(endpoint))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """End the tries in progress."""
+        """Cancel the checks in progress."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _find_out(self, endpoint: Endpoint) -> None:
+    async def _check_for_crash(self, endpoint: Endpoint) -> None:
         try:
             ended = await has_ended(endpoint.registration.address)
         finally:
-            broken = frozenset(self._broken.pop(endpoint.endpoint_id))
+            broken = frozenset(self._interrupted.pop(endpoint.endpoint_id))
         if not ended and not self._superseded(endpoint):
             await asyncio.sleep(STARTED_AGAIN_S)
         if ended or self._superseded(endpoint):
