--- a/src/celerytrack/gateway/connections.py
+++ b/src/celerytrack/gateway/connections.py
@@ -1,8 +1,8 @@
-"""Connections to endpoints, apart for each start of each endpoint.
+"""Connections to endpoints, kept separately for each incarnation of an endpoint.
 
-An endpoint may start again under its id and at its address. A connection of the
-start before is then answered by a reset, at best: a call sent on one is in
-doubt though nothing ran it. So the connections of a start end with it.
+An endpoint may restart under the same id and address. A call that is then sent on a
+connection to the previous incarnation is reset at best, and its outcome is unknown
+although nothing ran it. Connections are therefore closed with their incarnation.
 """
 
 import asyncio
@@ -16,34 +16,34 @@
 from celerytrack.process_end import CONNECT_TIMEOUT_S
 
 ENDPOINT_IDLE_S = 4.0
-"""Idle time after which a connection to an endpoint is not used again. An
-endpoint that closes an idle connection while a request is on its way leaves
-that request in doubt; this is below the idle timeouts endpoints announce."""
+"""Idle time after which a connection to an endpoint is not reused. It is below the idle
+timeouts that endpoints announce: an endpoint that closes an idle connection while a
+request is in transit leaves the outcome of that request unknown."""
 
 
 class EndpointLostError(Exception):
-    """The start of the endpoint to which a request was sent is gone."""
+    """The incarnation of the endpoint to which a request was sent is gone."""
 
 
 class StartConnections:
-    """Connections to one start of an endpoint, and the requests on them."""
+    """Connections to one incarnation of an endpoint, and the requests on them."""
 
     def __init__(self) -> None:
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         self.session = patient_session(ENDPOINT_IDLE_S, timeout, auto_decompress=False)
-        # The library sends a GET again by itself when a kept connection
-        # breaks: a call that must not run twice would, unseen by us.
+        # aiohttp repeats a GET on its own when a reused connection breaks, so a call
+        # that must run at most once could run twice without notice.
         self.session._retry_connection = False
         self._requests: set[asyncio.Timeout] = set()
 
     @contextlib.asynccontextmanager
     async def until_lost(self) -> AsyncIterator[None]:
-        """Run a request that ends early if the start is lost.
+        """Abort the enclosed request if the incarnation is lost.
 
-        Its connection alone would not end it: one to an instance that was dark
-        stays silent, and the caller's time runs out.
+        The connection alone does not end the request: a connection to an instance that
+        was unreachable stays open and silent until the caller's deadline.
 
-        :raises EndpointLostError: if it was lost.
+        :raises EndpointLostError: if the incarnation was lost.
         """
         scope = asyncio.timeout(None)
         self._requests.add(scope)
@@ -58,7 +58,7 @@
             self._requests.discard(scope)
 
     async def lose(self) -> None:
-        """End the requests and close the connections."""
+        """Abort the requests and close the connections."""
         now_s = asyncio.get_running_loop().time()
         for scope in self._requests:
             scope.reschedule(now_s)
@@ -68,30 +68,30 @@
 
 
 class EndpointConnections:
-    """Connections to the present start of each endpoint."""
+    """Connections to the current incarnation of each endpoint."""
 
     def __init__(self) -> None:
-        self._starts: dict[EndpointId, StartConnections] = {}
+        self._current: dict[EndpointId, StartConnections] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
     def of(self, endpoint_id: EndpointId) -> StartConnections:
-        """The connections to the present start of an endpoint."""
-        start = self._starts.get(endpoint_id)
-        if start is None:
-            start = self._starts[endpoint_id] = StartConnections()
-        return start
+        """Return the connections to an endpoint's current incarnation."""
+        current = self._current.get(endpoint_id)
+        if current is None:
+            current = self._current[endpoint_id] = StartConnections()
+        return current
 
     def lose(self, endpoint_id: EndpointId) -> None:
-        """The present start of an endpoint is gone; another may come."""
-        start = self._starts.pop(endpoint_id, None)
-        if start is None:
+        """Close the connections to an incarnation that is gone; another may follow."""
+        lost = self._current.pop(endpoint_id, None)
+        if lost is None:
             return
-        task = asyncio.get_running_loop().create_task(start.lose())
+        task = asyncio.get_running_loop().create_task(lost.lose())
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
 
     async def close(self) -> None:
         """Close all connections."""
-        starts = list(self._starts.values())
-        self._starts.clear()
-        await asyncio.gather(*(start.lose() for start in starts), *self._closing)
+        current = list(self._current.values())
+        self._current.clear()
+        await asyncio.gather(*(c.lose() for c in current), *self._closing)
