--- a/src/celerytrack/gateway/leaving.py
+++ b/src/celerytrack/gateway/leaving.py
@@ -1,4 +1,4 @@
-"""The parts of an entry's planned stop, in order."""
+"""The stages of an entry's planned stop."""
 
 import asyncio
 import logging
@@ -13,21 +13,22 @@
 _log = logging.getLogger(__name__)
 
 LAST_ROW_MOST_S = 1.0
-"""Longest wait for the row that gives the unspent tokens back: a slow store takes it
-within that; one that is away is not waited for."""
+"""Longest wait for the row that returns the unspent tokens. A slow store accepts it
+within this time; an unreachable store is not waited for."""
 LOGGED_MOST = 20
-"""Requests in progress that one log line names."""
+"""Requests in progress that are named in one log line."""
 TOLD_TIMES = 3
-"""How often the other entries are told directly: datagrams are lost."""
+"""How many times the other entries are notified directly, since datagrams may be
+lost."""
 TELL_AGAIN_S = 0.1
 ANSWERED_WITHIN_S = 0.2
-"""How long requests that an unplanned end ends may take to be answered."""
+"""Time to answer the requests that an unplanned stop aborts."""
 LOOK_S = 0.02
-"""How often a planned stop looks whether what it waits for is over."""
+"""Interval at which a planned stop checks the condition that it waits for."""
 
 
 async def leave(gateway: Gateway, stop: PlannedStop, listeners: Listeners) -> None:
-    """Send the callers elsewhere, and see the requests in progress to their end."""
+    """Drain the entry: redirect callers, then wait for the requests in progress."""
     log_event(_log, Event.PROCESS_STOPPING, in_flight=gateway.in_flight)
     for exchange in gateway.exchanges:
         exchange.end_by(stop.answers_end_s)
@@ -37,30 +38,32 @@
         await asyncio.sleep(TELL_AGAIN_S)
     await asyncio.sleep(stop.serves_until_s - time.monotonic())
     log_stage(gateway, stop, listeners, "callers gone")
-    await _until(lambda: not gateway.in_flight, stop.closes_s)
+    await _wait_until(lambda: not gateway.in_flight, stop.closes_s)
     gateway.closing = True
     log_stage(gateway, stop, listeners, "requests over")
-    last_row_s = min(stop.closes_s, time.monotonic() + LAST_ROW_MOST_S)
-    await gateway.keeper.publish_last(last_row_s)
+    last_row_timeout_at_s = min(stop.closes_s, time.monotonic() + LAST_ROW_MOST_S)
+    await gateway.keeper.publish_last(last_row_timeout_at_s)
     log_stage(gateway, stop, listeners, "last row")
-    await _until(lambda: not listeners.unsent_bytes(), stop.closes_s)
+    await _wait_until(lambda: not listeners.unsent_bytes(), stop.closes_s)
     log_stage(gateway, stop, listeners, "answers sent")
 
 
 async def end_now(gateway: Gateway, now_s: float) -> None:
-    """End the requests in progress, each with an answer, and take nothing more: a
-    process that was fenced may not serve on."""
+    """Abort the requests in progress, each with an answer, and admit no more.
+
+    A fenced process must not continue to serve.
+    """
     gateway.stop = PlannedStop(now_s, 0.0)
     gateway.closing = True
     for exchange in gateway.exchanges:
         exchange.end_by(now_s)
-    await _until(lambda: not gateway.in_flight, now_s + ANSWERED_WITHIN_S)
+    await _wait_until(lambda: not gateway.in_flight, now_s + ANSWERED_WITHIN_S)
 
 
 def log_stage(
     gateway: Gateway, stop: PlannedStop, listeners: Listeners, stage: str
 ) -> None:
-    """Say how far a planned stop is, and which requests it still waits for."""
+    """Log the stage of a planned stop and the requests that it still waits for."""
     log_event(
         _log,
         Event.STOP_STAGE,
@@ -72,10 +75,10 @@
     )
 
 
-async def _until(holds: Callable[[], bool], ends_s: float) -> None:
-    """Wait until ``holds``, but no longer than ``ends_s`` on the steady clock."""
-    while not holds():
-        left_s = ends_s - time.monotonic()
+async def _wait_until(condition: Callable[[], bool], timeout_at_s: float) -> None:
+    """Wait for ``condition``, at most until ``timeout_at_s`` on the monotonic clock."""
+    while not condition():
+        left_s = timeout_at_s - time.monotonic()
         if left_s <= 0:
             return
         await asyncio.sleep(min(LOOK_S, left_s))
--- a/src/celerytrack/gateway/listeners.py
+++ b/src/celerytrack/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The sockets on which an entry is asked, and the connections taken on them."""
+"""The listening sockets of an entry, and the connections accepted on them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,16 +7,16 @@
 from aiohttp import web
 
 CALLER_IDLE_S = 60.0
-"""Idle time after which a caller's connection is closed: several times as long as
-callers reuse theirs, so that none meets our close."""
+"""Idle time after which a caller's connection is closed: several times the idle time
+after which callers reuse it no more, so that no request meets the close."""
 HEADER_BYTES = 65_536
-"""Header bytes taken: four times what callers may send."""
+"""Limit of header bytes: four times what callers may send."""
 BODY_BYTES = 16 * 1024 * 1024
-"""Body bytes read before a request is refused as too large, whatever the
-configuration allows: a bound on memory."""
+"""Limit of body bytes whatever the configuration allows, to bound memory; a request
+with a larger body is refused."""
 CANCELLED_WITHIN_S = 0.05
-"""How long a request that is in progress when its listener closes may take to end, and
-as long again once it was cancelled."""
+"""Time for a request that is in progress when its listener closes to end, and the same
+time again after it is cancelled."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -29,7 +29,7 @@
         self._runners: list[web.ServerRunner] = []
 
     async def open(self, address: str | None, handler: Handler) -> None:
-        """Answer with ``handler`` on ``address`` (``host:port``), if there is one."""
+        """Serve ``handler`` on ``address`` (``host:port``), unless it is ``None``."""
         if address is None:
             return
         host, port = address.rsplit(":", 1)
@@ -50,7 +50,7 @@
         await web.TCPSite(runner, host, int(port), backlog=1024).start()
 
     def unsent_bytes(self) -> int:
-        """Bytes of answers that have not left this process."""
+        """Bytes of answers that are still in the write buffers of this process."""
         transports = (
             connection.transport
             for server in self._servers
@@ -59,14 +59,14 @@
         return sum(t.get_write_buffer_size() for t in transports if t is not None)
 
     async def close(self) -> None:
-        """Close all of them, side by side."""
+        """Close all listeners concurrently."""
         await asyncio.gather(*(runner.cleanup() for runner in self._runners))
 
 
 def _make_request(
     message: Any, payload: Any, protocol: Any, writer: Any, task: Any
 ) -> web.BaseRequest:
-    # The library takes 1 MiB of a body as a rule; callers may send more.
+    # aiohttp limits a body to 1 MiB by default; callers may send more.
     loop = asyncio.get_running_loop()
     return web.BaseRequest(
         message, payload, protocol, writer, task, loop, client_max_size=BODY_BYTES
