--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -1,4 +1,4 @@
-"""The entry process: its listeners, its tasks, its start and planned stop."""
+"""The entry process: listeners, background tasks, startup and planned stop."""
 
 import asyncio
 import json
@@ -37,26 +37,26 @@
 _log = logging.getLogger(__name__)
 
 ENDPOINT_POLL_S = 0.6
-"""How often endpoints' registrations are read: an endpoint that leaves must
-get nothing new two seconds later, with a slow answer of the store between."""
+"""Interval of reads of the endpoints' registrations: two seconds after an endpoint
+begins to drain it must get no new requests, even if the store answers slowly."""
 CONFIG_WAIT_S = 1.0
-"""How long the store may hold a read of the configuration. A read that is held
-when the store turns this instance away is never answered, and its connection
-looks sound, so that routes long in force are denied. With this wait and the time limit
-of a call a change is seen within two seconds."""
+"""Longest time the store may hold a read of the configuration open. If the store starts
+to reject this instance while it holds a read, that read is never answered although its
+connection looks healthy, and routes long in force are denied. With this wait and the
+timeout of a call, a change is seen within two seconds."""
 CONFIG_PAUSE_S = 0.3
 """Pause between two reads of the configuration. While large versions follow each other,
-reading without a pause takes all that a narrow link has left, and registrations come
-seconds late."""
+continuous reads would use up the bandwidth of a slow link and delay registrations by
+seconds."""
 ABORTED_WITHIN_S = 1.0
-"""How long an unplanned end may take to close what is open."""
+"""Time to close listeners and connections in an unplanned stop."""
 
 
 class EntryServer:
     """One entry process.
 
-    :param gateway: its state.
-    :param settings_path: read again on SIGHUP.
+    :param gateway: the state of the process.
+    :param settings_path: settings file, reloaded on SIGHUP.
     """
 
     def __init__(self, gateway: Gateway, settings_path: pathlib.Path) -> None:
@@ -67,12 +67,13 @@
         self._stop = asyncio.Event()
 
     async def run(self) -> int:
-        """Serve until SIGTERM; the exit status."""
+        """Serve until SIGTERM and return the exit status."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        # They may have changed since they were read, when nobody listened.
+        # The settings may have changed between their first read and the installation
+        # of the SIGHUP handler.
         self._reload()
         await self._listen()
         self._start_tasks()
@@ -82,20 +83,21 @@
             [stopped, *self._tasks], return_when=asyncio.FIRST_COMPLETED
         )
         if stopped not in done:
-            status = self._task_ended(done)
-            await self._end_now()
+            status = self._log_task_end(done)
+            await self._abort_requests()
             return status
-        await self._leave()
+        await self._drain()
         log_event(_log, Event.PROCESS_STOPPED, in_flight=self._gateway.in_flight)
         return 0
 
-    def _task_ended(self, done: "set[asyncio.Task[None]] | set[asyncio.Task]") -> int:
-        # A task that ends leaves the process deaf: better start anew.
+    def _log_task_end(self, done: "set[asyncio.Task[None]] | set[asyncio.Task]") -> int:
+        # Without one of its tasks the process no longer follows the store, so it
+        # exits to be restarted.
         for task in done:
             exc = task.exception()
             level = logging.ERROR
-            kind = "fenced" if isinstance(exc, FencedError) else "task ended"
-            log_event(_log, Event.PROCESS_STOPPING, level, why=kind, detail=repr(exc))
+            reason = "fenced" if isinstance(exc, FencedError) else "task ended"
+            log_event(_log, Event.PROCESS_STOPPING, level, why=reason, detail=repr(exc))
         return 1
 
     # -- start --------------------------------------------------------------
@@ -130,7 +132,7 @@
         except SettingsError as exc:
             log_event(_log, Event.SETTINGS_REJECTED, logging.ERROR, detail=str(exc))
             return
-        settings = _at_its_place(settings, self._gateway.settings)
+        settings = _keep_identity(settings, self._gateway.settings)
         self._gateway.settings = settings
         self._gateway.keeper.members.link_mbps = settings.link_mbps
         log_event(_log, Event.SETTINGS_RELOADED)
@@ -149,7 +151,7 @@
         if request.path != RESOLVE_PATH:
             return web.Response(status=404)
         zone = Zone(caller_zone(request.query))
-        addresses = choose_addresses(self._serving(), zone, self._gateway.rng)
+        addresses = choose_addresses(self._serving_members(), zone, self._gateway.rng)
         if not addresses:
             return web.Response(status=503)
         ttl_s = min(DEFAULT_TTL_S, self._gateway.settings.max_ttl_s)
@@ -166,20 +168,20 @@
         body = self._gateway.telemetry.render()
         return web.Response(body=body, content_type="text/plain")
 
-    def _serving(self) -> list[Member]:
+    def _serving_members(self) -> list[Member]:
         gateway = self._gateway
         members = gateway.keeper.members.live(time.monotonic())
         front = gateway.settings.front_address
         if gateway.ready and front is not None:
             zone = gateway.settings.zone
             link_mbps = gateway.settings.link_mbps
-            me = Member(gateway.entry_id, 0, front, "", zone, MemberState.SERVING)
-            members.append(attrs.evolve(me, link_mbps=link_mbps))
+            own = Member(gateway.entry_id, 0, front, "", zone, MemberState.SERVING)
+            members.append(attrs.evolve(own, link_mbps=link_mbps))
         return members
 
     # -- planned stop -------------------------------------------------------
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         gateway = self._gateway
         stop = gateway.stop
         assert stop is not None
@@ -187,12 +189,12 @@
         await self.abort(stop.closing_s)
         log_stage(gateway, stop, self._listeners, "closed")
 
-    async def _end_now(self) -> None:
+    async def _abort_requests(self) -> None:
         await end_now(self._gateway, time.monotonic())
         await self.abort()
 
     def stop(self) -> None:
-        """Begin a planned stop, as SIGTERM does."""
+        """Begin a planned stop, as on SIGTERM."""
         gateway = self._gateway
         if gateway.stop is None:
             grace_s = gateway.settings.grace_s
@@ -200,10 +202,10 @@
         self._stop.set()
 
     async def abort(self, within_s: float = ABORTED_WITHIN_S) -> None:
-        """Close the listeners, the tasks and the connections at once.
+        """Cancel the tasks and close the listeners and connections at once.
 
-        :param within_s: after which what is still open is left to the exit: a peer
-            that takes no bytes keeps a connection open for as long as it likes.
+        :param within_s: timeout, after which open connections are left to the exit of
+            the process: a peer that reads nothing can keep one open indefinitely.
         """
         for task in self._tasks:
             task.cancel()
@@ -215,8 +217,11 @@
             log_event(_log, Event.STOP_OVERRAN, logging.WARNING, within_s=within_s)
 
 
-def _at_its_place(new: ProcessSettings, old: ProcessSettings) -> ProcessSettings:
-    """``new`` with who and where the process is: its listeners stay where they are."""
+def _keep_identity(new: ProcessSettings, old: ProcessSettings) -> ProcessSettings:
+    """Return ``new`` with the identity and addresses of ``old``.
+
+    A reload does not move listeners.
+    """
     return attrs.evolve(
         new,
         entry_id=old.entry_id,
