--- a/src/celerytrack/gateway/__init__.py
+++ b/src/celerytrack/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process on the users' platform: its tasks, listeners and handlers."""
+"""The entry process on the production platform: tasks, listeners and handlers."""
--- a/src/celerytrack/gateway/logs.py
+++ b/src/celerytrack/gateway/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output that never block and stay bounded."""
+"""Rate-limited structured logs on standard output that never block."""
 
 import logging
 import os
@@ -10,71 +10,76 @@
 from celerytrack.events import Event
 
 LINES_PER_S = 150.0
-"""Lines written a second as a rule: a few for each request of a busy instance."""
+"""Sustained rate of the token bucket: a few lines for each request of a busy
+instance."""
 LINES_BURST = 600.0
-"""Lines that may come at once, as in an outage's first second."""
+"""Capacity of the token bucket: covers a burst such as the first second of an
+outage."""
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor, dropping what it cannot take.
+    """Writes lines to a file descriptor and drops lines that it does not accept.
 
-    A reader that stalls fills the pipe; a blocking write would then stop the
-    event loop and with it every request. Dropped lines are counted, and the
-    count is written when there is room again.
+    A stalled reader fills the pipe; a blocking write would then stop the event loop
+    and with it every request. Dropped lines are counted, and the count is written once
+    the descriptor accepts lines again.
     """
 
     def __init__(self, fd: int) -> None:
         super().__init__()
         self._fd = fd
-        self._level = LINES_BURST
-        self._filled_s = time.monotonic()
+        self._bucket = LINES_BURST
+        self._refilled_at_s = time.monotonic()
         self._dropped = 0
-        self._rest = b""
+        self._unwritten = b""
         os.set_blocking(fd, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, or count it as dropped."""
+        """Write one line, or count it as dropped.
+
+        Warnings and errors are exempt from the rate limit.
+        """
         now_s = time.monotonic()
-        earned = (now_s - self._filled_s) * LINES_PER_S
-        self._level = min(LINES_BURST, self._level + earned)
-        self._filled_s = now_s
-        if self._level < 1 and record.levelno < logging.WARNING:
+        refill = (now_s - self._refilled_at_s) * LINES_PER_S
+        self._bucket = min(LINES_BURST, self._bucket + refill)
+        self._refilled_at_s = now_s
+        if self._bucket < 1 and record.levelno < logging.WARNING:
             self._dropped += 1
             return
-        self._level -= 1
+        self._bucket -= 1
         lines = self.format(record)
         if self._dropped:
-            lines += f"\n{self.format(self._note(record))}"
+            lines += f"\n{self.format(self._make_dropped_record(record))}"
         if self._write(f"{lines}\n".encode()):
             self._dropped = 0
         else:
             self._dropped += 1
 
-    def _note(self, record: logging.LogRecord) -> logging.LogRecord:
-        """A record that says how many lines were dropped before it."""
+    def _make_dropped_record(self, record: logging.LogRecord) -> logging.LogRecord:
+        """Make a record that tells how many lines were dropped."""
         name = Event.LINES_DROPPED.name.lower()
-        note = logging.makeLogRecord({**record.__dict__, "msg": name, "args": None})
-        note.__dict__.update(event=int(Event.LINES_DROPPED), lines=self._dropped)
-        return note
+        dropped = logging.makeLogRecord({**record.__dict__, "msg": name, "args": None})
+        dropped.__dict__.update(event=int(Event.LINES_DROPPED), lines=self._dropped)
+        return dropped
 
     def _write(self, data: bytes) -> bool:
         if not self._flush():
             return False
-        self._rest = data
+        self._unwritten = data
         self._flush()
         return True
 
     def _flush(self) -> bool:
-        # A line cut in the middle by a full pipe goes on where it stopped.
-        while self._rest:
+        # A line that a full pipe took in part continues where it stopped.
+        while self._unwritten:
             try:
-                written = os.write(self._fd, self._rest)
+                written = os.write(self._fd, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                self._rest = b""
+                self._unwritten = b""
                 return True
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
 
 
--- a/src/celerytrack/gateway/telemetry.py
+++ b/src/celerytrack/gateway/telemetry.py
@@ -2,11 +2,11 @@
 
 import prometheus_client as prom
 
-_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0, 12.0)
+_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0, 12.0)
 
 
 class Telemetry:
-    """Counters and histograms, in a registry of their own."""
+    """Counters, gauges and histograms in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = prom.CollectorRegistry()
@@ -20,7 +20,7 @@
             "celerytrack_first_answer_seconds",
             "Time to the first piece of an answer.",
             ("route",),
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.attempts_failed = prom.Counter(
@@ -55,5 +55,5 @@
         )
 
     def render(self) -> bytes:
-        """The metrics as text."""
+        """Return the metrics in the Prometheus text format."""
         return bytes(prom.generate_latest(self.registry))
