--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -30,9 +30,7 @@
     refuse,
     taken_leaving,
 )
-from celerytrack.gateway.refusals import RefusedError
-from celerytrack.gateway.state import Gateway
-from celerytrack.gateway.suspect_gate import (
+from celerytrack.gateway.quarantine import (
     choose,
     claim,
     ended_well,
@@ -42,6 +40,8 @@
     release_when_known,
     standing_of,
 )
+from celerytrack.gateway.refusals import RefusedError
+from celerytrack.gateway.state import Gateway
 from celerytrack.loop_time import loop_time
 from celerytrack.planned_stop import Lasting, PlannedStop
 from celerytrack.prepaid import Reservation
