--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -15,7 +15,7 @@
 from celerytrack.findings import Ending, Findings
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.gateway.connections import EndpointConnections
-from celerytrack.gateway.ended_endpoints import EndedEndpoint, EndedEndpoints
+from celerytrack.gateway.crash_detector import EndedEndpoint, EndedEndpoints
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.hedged_store import HedgedStore
