--- a/bench/crash_bench.py
+++ b/bench/crash_bench.py
@@ -17,7 +17,7 @@
 
 from bench.crash_plot import plot
 from bench.rows import Row, keep_rows, make_parser, print_row
-from celerytrack.gateway import suspect_keeper
+from celerytrack.gateway import suspect_sync
 from celerytrack.lab.crash_fleet import CrashFleet
 from celerytrack.lab.crash_scenarios import (
     CrashFault,
@@ -53,8 +53,8 @@
 @functools.cache
 def _decode_once() -> None:
     """Have a record that every entry reads decoded once."""
-    decode = functools.lru_cache(RECORDS_MOST)(suspect_keeper.decode_findings)
-    suspect_keeper.decode_findings = decode  # type: ignore[assignment]
+    decode = functools.lru_cache(RECORDS_MOST)(suspect_sync.decode_findings)
+    suspect_sync.decode_findings = decode  # type: ignore[assignment]
 
 
 def _rows(scenarios: list[CrashScenario], seeds: int, jobs: int) -> list[Row]:
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -27,7 +27,7 @@
     PromptNote,
 )
 from celerytrack.gateway.share_keeper import ShareKeeper
-from celerytrack.gateway.suspect_keeper import SuspectKeeper
+from celerytrack.gateway.suspect_sync import SuspectKeeper
 from celerytrack.gateway.telemetry import Telemetry
 from celerytrack.ids import EndpointId, EntryId, ServiceName
 from celerytrack.planned_stop import PlannedStop
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -10,7 +10,7 @@
 from celerytrack.eras import EraWatch
 from celerytrack.findings import Ending, Findings, Trial
 from celerytrack.gateway.hedged_store import HedgedStore
-from celerytrack.gateway.suspect_keeper import SuspectKeeper
+from celerytrack.gateway.suspect_sync import SuspectKeeper
 from celerytrack.ids import EndpointId, EntryId
 from celerytrack.lab.crash_endpoints import (
     KNOWN_S,
