--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -9,8 +9,8 @@
 from returns.result import Failure, Result, Success
 
 from celerytrack.endpoint import Endpoint, Sent
-from celerytrack.gateway.connections import EndpointLostError, StartConnections
-from celerytrack.gateway.exchange import AttemptFailure, Exchange, PlainAnswer
+from celerytrack.gateway.connections import EndpointGoneError, IncarnationConnections
+from celerytrack.gateway.exchange import AttemptFailure, BufferedAnswer, Exchange
 from celerytrack.gateway.state import Gateway
 from celerytrack.platform.http import (
     SKIPPED_AUTO_HEADERS,
@@ -26,11 +26,11 @@
 _NOT_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 _BROKEN = (aiohttp.ClientError, OSError)
 
-AttemptResult = Result["PlainAnswer | None", AttemptFailure]
+AttemptResult = Result["BufferedAnswer | None", AttemptFailure]
 """``Success(None)`` if a stream was relayed completely."""
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed the connection."""
 
 
@@ -39,7 +39,7 @@
 ) -> AttemptResult:
     """Send ``exchange`` to ``endpoint`` and wait for its answer.
 
-    :raises CallerGoneError: if the caller disconnects while the answer is relayed.
+    :raises CallerDisconnectedError: if the caller disconnects during the answer.
     """
     request = exchange.request
     envelope = Envelope(
@@ -56,7 +56,7 @@
     try:
         async with connections.until_lost():
             return await _send(gateway, exchange, sent, connections, url, envelope)
-    except EndpointLostError:
+    except EndpointGoneError:
         return _unusable_answer("the endpoint started again")
 
 
@@ -64,7 +64,7 @@
     gateway: Gateway,
     exchange: Exchange,
     sent: Sent,
-    connections: StartConnections,
+    connections: IncarnationConnections,
     url: yarl.URL,
     envelope: Envelope,
 ) -> AttemptResult:
@@ -143,7 +143,7 @@
         return _unusable_answer("an answer without length was reset")
     sent.answered(time.monotonic())
     headers = returned_headers(response.headers)
-    return Success(PlainAnswer(response.status, headers, body))
+    return Success(BufferedAnswer(response.status, headers, body))
 
 
 async def _relay(
@@ -189,7 +189,7 @@
     try:
         await answer.prepare(exchange.request)
     except ConnectionError:
-        raise CallerGoneError from None
+        raise CallerDisconnectedError from None
 
 
 async def _write(exchange: Exchange, data: bytes) -> None:
@@ -197,19 +197,19 @@
     try:
         await exchange.response.write(data)
     except ConnectionError:
-        raise CallerGoneError from None
+        raise CallerDisconnectedError from None
 
 
 async def finish(exchange: Exchange) -> None:
     """End the answer to the caller after a stream was relayed completely.
 
-    :raises CallerGoneError: if the caller has disconnected.
+    :raises CallerDisconnectedError: if the caller has disconnected.
     """
     assert exchange.response is not None
     try:
         await exchange.response.write_eof()
     except ConnectionError:
-        raise CallerGoneError from None
+        raise CallerDisconnectedError from None
 
 
 def _protocol(response: aiohttp.ClientResponse) -> asyncio.BaseProtocol | None:
--- a/src/celerytrack/gateway/connections.py
+++ b/src/celerytrack/gateway/connections.py
@@ -21,11 +21,11 @@
 request is in transit leaves the outcome of that request unknown."""
 
 
-class EndpointLostError(Exception):
+class EndpointGoneError(Exception):
     """The incarnation of the endpoint to which a request was sent is gone."""
 
 
-class StartConnections:
+class IncarnationConnections:
     """Connections to one incarnation of an endpoint, and the requests on them."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         The connection alone does not end the request: a connection to an instance that
         was unreachable stays open and silent until the caller's deadline.
 
-        :raises EndpointLostError: if the incarnation was lost.
+        :raises EndpointGoneError: if the incarnation was lost.
         """
         scope = asyncio.timeout(None)
         self._requests.add(scope)
@@ -52,7 +52,7 @@
                 yield
         except TimeoutError:
             if scope.expired():
-                raise EndpointLostError from None
+                raise EndpointGoneError from None
             raise
         finally:
             self._requests.discard(scope)
@@ -71,14 +71,14 @@
     """Connections to the current incarnation of each endpoint."""
 
     def __init__(self) -> None:
-        self._current: dict[EndpointId, StartConnections] = {}
+        self._current: dict[EndpointId, IncarnationConnections] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
-    def of(self, endpoint_id: EndpointId) -> StartConnections:
+    def of(self, endpoint_id: EndpointId) -> IncarnationConnections:
         """Return the connections to an endpoint's current incarnation."""
         current = self._current.get(endpoint_id)
         if current is None:
-            current = self._current[endpoint_id] = StartConnections()
+            current = self._current[endpoint_id] = IncarnationConnections()
         return current
 
     def lose(self, endpoint_id: EndpointId) -> None:
--- a/src/celerytrack/gateway/crash_detector.py
+++ b/src/celerytrack/gateway/crash_detector.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class EndedEndpoint:
+class CrashedEndpoint:
     """An endpoint that crashed while it ran requests.
 
     :ivar broken: the requests of this entry that were interrupted.
@@ -30,7 +30,7 @@
     broken: frozenset[Fingerprint]
 
 
-class EndedEndpoints:
+class CrashDetector:
     """Checks whether endpoints crashed after requests to them were interrupted.
 
     :param superseded: whether a later incarnation has registered under an endpoint's
@@ -41,7 +41,7 @@
     def __init__(
         self,
         superseded: Callable[[Endpoint], bool],
-        take: Callable[[EndedEndpoint], None],
+        take: Callable[[CrashedEndpoint], None],
     ) -> None:
         self._superseded = superseded
         self._take = take
@@ -78,4 +78,4 @@
         if not ended and not self._superseded(endpoint):
             await asyncio.sleep(STARTED_AGAIN_S)
         if ended or self._superseded(endpoint):
-            self._take(EndedEndpoint(endpoint, broken))
+            self._take(CrashedEndpoint(endpoint, broken))
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class PlainAnswer:
+class BufferedAnswer:
     """An endpoint's answer that was read completely before it is passed on."""
 
     status: int
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from celerytrack.events import Event, log_event
-from celerytrack.gateway.exchange import AttemptFailure, Exchange, PlainAnswer
+from celerytrack.gateway.exchange import AttemptFailure, BufferedAnswer, Exchange
 from celerytrack.gateway.refusals import refusal_response
 from celerytrack.gateway.state import Gateway
 from celerytrack.planned_stop import PlannedStop
@@ -36,7 +36,7 @@
     return exchange.response
 
 
-def plain(gateway: Gateway, answer: PlainAnswer) -> web.StreamResponse:
+def plain(gateway: Gateway, answer: BufferedAnswer) -> web.StreamResponse:
     """Make the response that carries an endpoint's complete answer."""
     response = web.Response(
         status=answer.status, headers=answer.headers, body=answer.body
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -12,14 +12,14 @@
 from celerytrack.gateway.admission import SHORTLY_S, SOON_S, admit, reserve, settle
 from celerytrack.gateway.attempts import (
     AttemptResult,
-    CallerGoneError,
+    CallerDisconnectedError,
     attempt,
     finish,
 )
 from celerytrack.gateway.exchange import (
     AttemptFailure,
+    BufferedAnswer,
     Exchange,
-    PlainAnswer,
 )
 from celerytrack.gateway.outcomes import (
     answered,
@@ -82,7 +82,7 @@
         return await _serve(gateway, exchange)
     except RefusedError as exc:
         return refuse(gateway, request, exchange, exc.refusal)
-    except (CallerGoneError, asyncio.CancelledError):
+    except (CallerDisconnectedError, asyncio.CancelledError):
         count(gateway, exchange, "caller_left")
         log_event(
             _log,
@@ -162,7 +162,7 @@
                 await finish(exchange)
                 answered(gateway, exchange, exchange.response.status)
                 return exchange.response
-            case Success(PlainAnswer() as answer):
+            case Success(BufferedAnswer() as answer):
                 retry = answer.status >= 500 and exchange.route.may_repeat
                 if not (retry and _within_limits(exchange) and budget.take()):
                     answered(gateway, exchange, answer.status)
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -15,7 +15,7 @@
 from celerytrack.findings import Ending, Findings
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.gateway.connections import EndpointConnections
-from celerytrack.gateway.crash_detector import EndedEndpoint, EndedEndpoints
+from celerytrack.gateway.crash_detector import CrashDetector, CrashedEndpoint
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.hedged_store import HedgedStore
@@ -27,7 +27,7 @@
     PromptNote,
 )
 from celerytrack.gateway.share_keeper import ShareKeeper
-from celerytrack.gateway.suspect_sync import SuspectKeeper
+from celerytrack.gateway.suspect_sync import SuspectSync
 from celerytrack.gateway.telemetry import Telemetry
 from celerytrack.ids import EndpointId, EntryId, ServiceName
 from celerytrack.planned_stop import PlannedStop
@@ -101,10 +101,10 @@
         self.durations = Durations()
         self._retries: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
-        self.ended_endpoints = EndedEndpoints(
+        self.ended_endpoints = CrashDetector(
             self.endpoints.superseded, self._endpoint_ended
         )
-        self.suspects = SuspectKeeper(
+        self.suspects = SuspectSync(
             self.store,
             self.entry_id,
             self.boot_id,
@@ -163,7 +163,7 @@
             self.config_known_at_s = float("-inf")
         self.endpoints.restored()
 
-    def _endpoint_ended(self, ended: EndedEndpoint) -> None:
+    def _endpoint_ended(self, ended: CrashedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
         log_event(
             _log,
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -48,7 +48,7 @@
 stays within what the store accepts."""
 
 
-class SuspectKeeper:
+class SuspectSync:
     """Writes this entry's record of suspects and reads the records of other entries.
 
     :param boot_id: identifies this run of the process as a writer.
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -10,7 +10,7 @@
 from celerytrack.eras import EraWatch
 from celerytrack.findings import Ending, Findings, Trial
 from celerytrack.gateway.hedged_store import HedgedStore
-from celerytrack.gateway.suspect_sync import SuspectKeeper
+from celerytrack.gateway.suspect_sync import SuspectSync
 from celerytrack.ids import EndpointId, EntryId
 from celerytrack.lab.crash_endpoints import (
     KNOWN_S,
@@ -71,7 +71,7 @@
         self.apart = False
         self.moved_s = float("-inf")
         self.store = ModelStore(log)
-        self.keeper: SuspectKeeper | None = None
+        self.keeper: SuspectSync | None = None
         self._service = service
         self._remembers = remembers
         self._tell = tell
@@ -89,7 +89,7 @@
         self.store.eras = eras = EraWatch()
         self._starts += 1
         await asyncio.sleep(START_S)
-        keeper = SuspectKeeper(
+        keeper = SuspectSync(
             HedgedStore(self.store),
             self.entry_id,
             str(self._starts),
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 from nose2.tools import params
 
 from celerytrack.gateway import gifts
-from celerytrack.gateway.attempts import CallerGoneError, finish
+from celerytrack.gateway.attempts import CallerDisconnectedError, finish
 from celerytrack.gateway.reservations import ASKING_S, WAIT_TOKENS_S
 from celerytrack.ids import AccountId
 from celerytrack.planned_stop import PlannedStop
@@ -331,7 +331,7 @@
         response = mock.AsyncMock()
         gone = aiohttp.ClientConnectionResetError("Cannot write to closing transport")
         response.write_eof.side_effect = gone
-        with self.assertRaises(CallerGoneError):
+        with self.assertRaises(CallerDisconnectedError):
             asyncio.run(finish(mock.Mock(response=response)))
 
 
