--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -20,16 +20,16 @@
 ANSWER_MARGIN_S = 0.03
 """How long before the deadline an answer must be sent to arrive in time: covers the
 network latency to the caller and timers that fire late on a busy instance."""
-SOON_S = 0.1
+RETRY_ELSEWHERE_AFTER_S = 0.1
 """``Retry-After`` of a refusal when another entry may accept the request."""
-SHORTLY_S = 0.5
+NO_ENDPOINT_RETRY_AFTER_S = 0.5
 """``Retry-After`` while a service has no endpoint: registrations are back within two
 seconds after an outage ends."""
-CUT_LASTS_S = 3.0
+PARTITION_RETRY_AFTER_S = 3.0
 """``Retry-After`` while this entry is partitioned from the log and the other entries
 have no tokens to transfer: partitions last seconds, and a caller has one more
 attempt."""
-TOKENS_RETURN_S = 5.0
+NO_TOKENS_RETRY_AFTER_S = 5.0
 """``Retry-After`` if neither the total nor the other entries have the tokens: they
 become available when requests end below their maximum cost, or by a top-up."""
 
@@ -44,7 +44,9 @@
     table = gateway.table
     if table is None or not gateway.endpoints_known or not gateway.suspects.started:
         detail = "no configuration read yet"
-        raise RefusedError(did_not_run(Reason.NO_CONFIG, SHORTLY_S, detail))
+        raise RefusedError(
+            did_not_run(Reason.NO_CONFIG, NO_ENDPOINT_RETRY_AFTER_S, detail)
+        )
     try:
         facts = decode_request(request.headers)
     except RequestError as exc:
@@ -86,7 +88,7 @@
     if gateway.may_deny(now_s):
         return did_not_run(reason, None, detail)
     detail = f"{detail}, as of {gateway.config_age_s(now_s):.1f} s ago"
-    return did_not_run(Reason.NO_CONFIG, SOON_S, detail)
+    return did_not_run(Reason.NO_CONFIG, RETRY_ELSEWHERE_AFTER_S, detail)
 
 
 async def _read_body(request: web.BaseRequest, table: RoutingTable) -> bytes:
@@ -121,11 +123,11 @@
     now_s = time.monotonic()
     total_known = gateway.may_deny(now_s)
     raise RefusedError(
-        lacking_tokens(gateway.keeper, account, tokens, total_known, now_s)
+        insufficient_tokens(gateway.keeper, account, tokens, total_known, now_s)
     )
 
 
-def lacking_tokens(
+def insufficient_tokens(
     keeper: ShareKeeper,
     account: AccountId,
     tokens: int,
@@ -146,10 +148,14 @@
         detail = f"{tokens} tokens do not fit what is left"
         return did_not_run(Reason.BUDGET_EXHAUSTED, None, detail)
     detail = f"{tokens} tokens, {book.left_tokens(account, now_s)} in hand here"
-    retry_after_s = TOKENS_RETURN_S
+    retry_after_s = NO_TOKENS_RETRY_AFTER_S
     if not keeper.reachable:
         free_s = book.free_in_s(account, tokens, now_s)
-        retry_after_s = CUT_LASTS_S if free_s is None else max(free_s, SOON_S)
+        retry_after_s = (
+            PARTITION_RETRY_AFTER_S
+            if free_s is None
+            else max(free_s, RETRY_ELSEWHERE_AFTER_S)
+        )
     return did_not_run(Reason.TOKENS_ELSEWHERE, retry_after_s, detail)
 
 
--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -200,7 +200,7 @@
         raise CallerDisconnectedError from None
 
 
-async def finish(exchange: Exchange) -> None:
+async def finish_stream(exchange: Exchange) -> None:
     """End the answer to the caller after a stream was relayed completely.
 
     :raises CallerDisconnectedError: if the caller has disconnected.
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -9,12 +9,18 @@
 
 from celerytrack.endpoint import Choice
 from celerytrack.events import Event, log_event
-from celerytrack.gateway.admission import SHORTLY_S, SOON_S, admit, reserve, settle
+from celerytrack.gateway.admission import (
+    NO_ENDPOINT_RETRY_AFTER_S,
+    RETRY_ELSEWHERE_AFTER_S,
+    admit,
+    reserve,
+    settle,
+)
 from celerytrack.gateway.attempts import (
     AttemptResult,
     CallerDisconnectedError,
     attempt,
-    finish,
+    finish_stream,
 )
 from celerytrack.gateway.exchange import (
     AttemptFailure,
@@ -50,7 +56,7 @@
 
 _log = logging.getLogger(__name__)
 
-MOST_UNSENT = 3
+MAX_CONNECT_FAILURES = 3
 """Endpoints that may be unreachable before a request is given up. It does not cover
 the simultaneous failure of more than a third of a service."""
 
@@ -143,7 +149,9 @@
 def _timeout_refusal(exchange: Exchange) -> Refusal:
     if exchange.may_have_run:
         return may_have_run(Reason.DEADLINE, None, "no answer in time")
-    return did_not_run(Reason.QUEUE_TIMEOUT, SOON_S, "not sent in time")
+    return did_not_run(
+        Reason.QUEUE_TIMEOUT, RETRY_ELSEWHERE_AFTER_S, "not sent in time"
+    )
 
 
 async def _run_attempts(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
@@ -159,7 +167,7 @@
         match result:
             case Success(None):
                 assert exchange.response is not None
-                await finish(exchange)
+                await finish_stream(exchange)
                 answered(gateway, exchange, exchange.response.status)
                 return exchange.response
             case Success(BufferedAnswer() as answer):
@@ -192,8 +200,8 @@
     sends = len(exchange.tried) - exchange.unsent
     return (
         sends < exchange.route.max_attempts
-        and exchange.unsent < MOST_UNSENT
-        and left_s > SOON_S
+        and exchange.unsent < MAX_CONNECT_FAILURES
+        and left_s > RETRY_ELSEWHERE_AFTER_S
     )
 
 
@@ -295,7 +303,11 @@
         raise RefusedError(may_have_run(failure.reason, None, failure.detail))
     if failure.reason is Reason.QUARANTINED:
         raise RefusedError(held_back(gateway, exchange, time.monotonic()))
-    retry_after_s = SHORTLY_S if failure.reason is Reason.NO_ENDPOINT else SOON_S
+    retry_after_s = (
+        NO_ENDPOINT_RETRY_AFTER_S
+        if failure.reason is Reason.NO_ENDPOINT
+        else RETRY_ELSEWHERE_AFTER_S
+    )
     reason = failure.reason
     if reason is Reason.UPSTREAM_FAILED:
         reason = Reason.NO_ENDPOINT
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from celerytrack.gateway.admission import SOON_S, lacking_tokens
+from celerytrack.gateway.admission import RETRY_ELSEWHERE_AFTER_S, insufficient_tokens
 from celerytrack.gateway.share_keeper import ShareKeeper
 from celerytrack.ids import AccountId
 from celerytrack.lab.after_return import Owed
@@ -241,15 +241,15 @@
     async def _serve(self, entry: ModelEntry, request: _Request) -> float | None:
         keeper, reservations = entry.keeper, entry.reservations
         if keeper is None or reservations is None:
-            return SOON_S
+            return RETRY_ELSEWHERE_AFTER_S
         name, tokens = request.account, request.most_tokens
         held = await reservations.reserve(name, tokens, request.work.urgent)
         now_s = asyncio.get_running_loop().time() + entry.clock.steady_ahead_s
         if held is None:
-            refusal = lacking_tokens(keeper, name, tokens, True, now_s)
+            refusal = insufficient_tokens(keeper, name, tokens, True, now_s)
             if refusal.reason is Reason.BUDGET_EXHAUSTED:
                 return None
-            return refusal.retry_after_s or SOON_S
+            return refusal.retry_after_s or RETRY_ELSEWHERE_AFTER_S
         await self._run(entry, keeper, request, held)
         return 0.0
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 from nose2.tools import params
 
 from celerytrack.gateway import gifts
-from celerytrack.gateway.attempts import CallerDisconnectedError, finish
+from celerytrack.gateway.attempts import CallerDisconnectedError, finish_stream
 from celerytrack.gateway.reservations import ASKING_S, WAIT_TOKENS_S
 from celerytrack.ids import AccountId
 from celerytrack.planned_stop import PlannedStop
@@ -332,7 +332,7 @@
         gone = aiohttp.ClientConnectionResetError("Cannot write to closing transport")
         response.write_eof.side_effect = gone
         with self.assertRaises(CallerDisconnectedError):
-            asyncio.run(finish(mock.Mock(response=response)))
+            asyncio.run(finish_stream(mock.Mock(response=response)))
 
 
 class PrepaidTest(unittest.IsolatedAsyncioTestCase):
