--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -75,7 +75,7 @@
         account=account_id,
         priority=priority,
         started_s=started_s,
-        ends_s=started_s + min(deadline_s, route.timeout_s) - ANSWER_MARGIN_S,
+        deadline_at_s=started_s + min(deadline_s, route.timeout_s) - ANSWER_MARGIN_S,
     )
 
 
--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -44,7 +44,7 @@
     request = exchange.request
     envelope = Envelope(
         endpoint_id=endpoint.endpoint_id,
-        left_s=exchange.ends_s - time.monotonic(),
+        left_s=exchange.deadline_at_s - time.monotonic(),
         urgency=urgency(exchange.priority, sent.work_s, exchange.route.target_s),
         account=exchange.account,
         last_event_id=exchange.resume_from if exchange.route.stream else None,
@@ -119,7 +119,7 @@
                 Verdict.DID_NOT_RUN,
                 facts.wrong_endpoint,
                 f"refused with {response.status}",
-                gone=facts.wrong_endpoint,
+                address_reused=facts.wrong_endpoint,
             )
         )
     if response.status < 300 and not _is_authentic(facts):
@@ -163,8 +163,8 @@
         if received is None:
             continue
         if exchange.response is None:
-            exchange.first_s = time.monotonic()
-            sent.answered(exchange.first_s)
+            exchange.first_data_at_s = time.monotonic()
+            sent.answered(exchange.first_data_at_s)
             await _start_stream(gateway, exchange, response)
         await _write(exchange, received.data)
     if events.partial or _was_reset(response, protocol):
--- a/src/celerytrack/gateway/draining.py
+++ b/src/celerytrack/gateway/draining.py
@@ -31,7 +31,7 @@
     """Drain the entry: redirect callers, then wait for the requests in progress."""
     log_event(_log, Event.PROCESS_STOPPING, in_flight=gateway.in_flight)
     for exchange in gateway.exchanges:
-        exchange.end_by(stop.answers_end_s)
+        exchange.shorten_deadline(stop.answers_end_s)
     gateway.keeper.leave()
     for _ in range(TOLD_TIMES):
         gateway.tell_leaving()
@@ -56,7 +56,7 @@
     gateway.stop = PlannedStop(now_s, 0.0)
     gateway.closing = True
     for exchange in gateway.exchanges:
-        exchange.end_by(now_s)
+        exchange.shorten_deadline(now_s)
     await _wait_until(lambda: not gateway.in_flight, now_s + ANSWERED_WITHIN_S)
 
 
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -38,8 +38,8 @@
     :ivar hard: the endpoint did not accept the connection, broke it or did not respond.
     :ivar detail: the observed error, for the log.
     :ivar sent: whether anything was sent to the endpoint.
-    :ivar gone: another endpoint has its address now, so the endpoint was not reached
-        and no longer exists.
+    :ivar address_reused: another endpoint has the address now, so the endpoint was not
+        reached and no longer exists.
     """
 
     reason: Reason
@@ -47,10 +47,10 @@
     hard: bool
     detail: str
     sent: bool = True
-    gone: bool = False
+    address_reused: bool = False
 
     @property
-    def broke(self) -> bool:
+    def was_interrupted(self) -> bool:
         """Whether the endpoint failed after the request was sent to it."""
         return self.sent and self.hard and self.verdict is Verdict.MAY_HAVE_RUN
 
@@ -62,19 +62,19 @@
     Times are on the monotonic clock.
 
     :ivar started_s: when the request was read.
-    :ivar ends_s: by when the answer must be sent: the caller's deadline or the
+    :ivar deadline_at_s: by when the answer must be sent: the caller's deadline or the
         route's timeout, whichever is sooner.
     :ivar tried: endpoints chosen so far, in order.
-    :ivar unsent: how many of them were not reached: they did not accept the
+    :ivar unreached: how many of them were not reached: they did not accept the
         connection, or another endpoint has their address now.
-    :ivar covered_s: when the maximum cost was reserved, or found to need no
+    :ivar reserved_at_s: when the maximum cost was reserved, or found to need no
         reservation.
-    :ivar first_s: when the first events of the answer arrived.
+    :ivar first_data_at_s: when the first events of the answer arrived.
     :ivar choice: the endpoint of the last attempt, and its predicted times.
     :ivar may_have_run: whether an endpoint may have run the request.
     :ivar response: the stream to the caller, once it has begun.
     :ivar events: parser of the stream, which counts the events relayed so far.
-    :ivar scope: ends the wait for tokens and the attempts at ``ends_s``.
+    :ivar timeout: ends the wait for tokens and the attempts at ``deadline_at_s``.
     """
 
     request: web.BaseRequest
@@ -85,16 +85,16 @@
     account: AccountId | None
     priority: int
     started_s: float
-    ends_s: float
+    deadline_at_s: float
     tried: list[EndpointId] = attrs.field(factory=list)
-    unsent: int = 0
-    covered_s: float | None = None
-    first_s: float | None = None
+    unreached: int = 0
+    reserved_at_s: float | None = None
+    first_data_at_s: float | None = None
     choice: Choice | None = None
     may_have_run: bool = False
     response: web.StreamResponse | None = None
     events: EventCutter = attrs.field(factory=EventCutter)
-    scope: asyncio.Timeout | None = None
+    timeout: asyncio.Timeout | None = None
     _place: Place | None = None
     _fingerprint: Fingerprint | None = None
 
@@ -124,13 +124,13 @@
         """What the request needs of an endpoint."""
         return Need(self.service, self.facts.parts)
 
-    def end_by(self, at_s: float) -> None:
+    def shorten_deadline(self, at_s: float) -> None:
         """Set the deadline to ``at_s`` unless it is already earlier."""
-        if at_s >= self.ends_s:
+        if at_s >= self.deadline_at_s:
             return
-        self.ends_s = at_s
-        if self.scope is not None and not self.scope.expired():
-            self.scope.reschedule(loop_time(at_s))
+        self.deadline_at_s = at_s
+        if self.timeout is not None and not self.timeout.expired():
+            self.timeout.reschedule(loop_time(at_s))
 
     @property
     def resume_from(self) -> str | None:
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -16,10 +16,12 @@
 _log = logging.getLogger(__name__)
 
 
-def cut(gateway: Gateway, exchange: Exchange, detail: str) -> web.StreamResponse:
+def abort_stream(
+    gateway: Gateway, exchange: Exchange, detail: str
+) -> web.StreamResponse:
     """Abort a stream that has begun, so that the caller sees it as incomplete."""
     assert exchange.response is not None
-    count(gateway, exchange, "cut")
+    count_outcome(gateway, exchange, "cut")
     log_event(
         _log,
         Event.STREAM_CUT,
@@ -36,7 +38,7 @@
     return exchange.response
 
 
-def plain(gateway: Gateway, answer: BufferedAnswer) -> web.StreamResponse:
+def make_response(gateway: Gateway, answer: BufferedAnswer) -> web.StreamResponse:
     """Make the response that carries an endpoint's complete answer."""
     response = web.Response(
         status=answer.status, headers=answer.headers, body=answer.body
@@ -46,9 +48,9 @@
     return response
 
 
-def answered(gateway: Gateway, exchange: Exchange, status: int) -> None:
+def record_answer(gateway: Gateway, exchange: Exchange, status: int) -> None:
     """Log and count a request whose caller got an endpoint's answer of any status."""
-    count(gateway, exchange, "answered" if status < 500 else "endpoint_failed")
+    count_outcome(gateway, exchange, "answered" if status < 500 else "endpoint_failed")
     choice = exchange.choice
     assert choice is not None
     now_s = time.monotonic()
@@ -62,15 +64,15 @@
         target_ms=round(exchange.route.target_s * 1_000),
         tried=exchange.tried,
         events=exchange.events.events,
-        covered_ms=_since_start_ms(exchange, exchange.covered_s),
+        covered_ms=_since_start_ms(exchange, exchange.reserved_at_s),
         predicted_ms=round(choice.predicted_s * 1_000),
         work_ms=round(choice.work_s * 1_000),
-        first_ms=_since_start_ms(exchange, exchange.first_s),
+        first_ms=_since_start_ms(exchange, exchange.first_data_at_s),
         took_ms=_since_start_ms(exchange, now_s),
     )
 
 
-def taken_leaving(
+def log_admitted_while_draining(
     gateway: Gateway, exchange: Exchange, stop: PlannedStop, now_s: float
 ) -> None:
     """Log a request that was admitted after a planned stop had begun."""
@@ -80,7 +82,7 @@
         request_id=exchange.facts.request_id,
         route=exchange.route.name,
         after_ms=round((now_s - stop.began_s) * 1_000),
-        may_last_ms=round((exchange.ends_s - now_s) * 1_000),
+        may_last_ms=round((exchange.deadline_at_s - now_s) * 1_000),
     )
 
 
@@ -111,7 +113,7 @@
         config_age_ms=_age_ms(gateway.config_age_s(time.monotonic())),
         config_version=gateway.table.version if gateway.table else None,
     )
-    count(gateway, exchange, refusal.reason.value)
+    count_outcome(gateway, exchange, refusal.reason.value)
     return refusal_response(refusal, gateway.leaving)
 
 
@@ -119,13 +121,13 @@
     return round(age_s * 1_000) if math.isfinite(age_s) else None
 
 
-def count(gateway: Gateway, exchange: Exchange | None, outcome: str) -> None:
+def count_outcome(gateway: Gateway, exchange: Exchange | None, outcome: str) -> None:
     """Count the outcome of a request."""
     route = exchange.route.name if exchange else "none"
     gateway.telemetry.outcomes.labels(route, outcome).inc()
 
 
-def attempt_failed(
+def record_attempt_failure(
     gateway: Gateway, exchange: Exchange, endpoint: str, failure: AttemptFailure
 ) -> None:
     """Log and count an attempt that failed at ``endpoint``."""
@@ -139,5 +141,5 @@
         verdict=failure.verdict.value,
         detail=failure.detail,
         events=exchange.events.events,
-        fingerprint=exchange.fingerprint.hex() if failure.broke else None,
+        fingerprint=exchange.fingerprint.hex() if failure.was_interrupted else None,
     )
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -28,13 +28,13 @@
     Exchange,
 )
 from celerytrack.gateway.outcomes import (
-    answered,
-    attempt_failed,
-    count,
-    cut,
-    plain,
+    abort_stream,
+    count_outcome,
+    log_admitted_while_draining,
+    make_response,
+    record_answer,
+    record_attempt_failure,
     refuse,
-    taken_leaving,
 )
 from celerytrack.gateway.quarantine import (
     choose,
@@ -89,7 +89,7 @@
     except RefusedError as exc:
         return refuse(gateway, request, exchange, exc.refusal)
     except (CallerDisconnectedError, asyncio.CancelledError):
-        count(gateway, exchange, "caller_left")
+        count_outcome(gateway, exchange, "caller_left")
         log_event(
             _log,
             Event.CALLER_LEFT,
@@ -118,31 +118,31 @@
     :raises RefusedError: if the request might still run when the process exits.
     """
     lasting = Lasting(
-        most_s=exchange.ends_s - now_s,
+        most_s=exchange.deadline_at_s - now_s,
         likely_s=gateway.durations.likely_s(exchange.route.name),
         stream=exchange.route.stream,
     )
     if gateway.closing or not stop.takes(lasting, now_s):
         detail = f"this entry stops; {lasting}"
         raise RefusedError(did_not_run(Reason.DRAINING, 0.0, detail))
-    exchange.end_by(stop.answers_end_s)
-    taken_leaving(gateway, exchange, stop, now_s)
+    exchange.shorten_deadline(stop.answers_end_s)
+    log_admitted_while_draining(gateway, exchange, stop, now_s)
 
 
 async def _serve(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
     reservation: Reservation | None = None
     try:
-        async with asyncio.timeout_at(loop_time(exchange.ends_s)) as scope:
-            exchange.scope = scope
+        async with asyncio.timeout_at(loop_time(exchange.deadline_at_s)) as timeout:
+            exchange.timeout = timeout
             reservation = await reserve(gateway, exchange)
-            exchange.covered_s = time.monotonic()
+            exchange.reserved_at_s = time.monotonic()
             return await _run_attempts(gateway, exchange)
     except TimeoutError:
         if exchange.response is not None:
-            return cut(gateway, exchange, "the time is up")
+            return abort_stream(gateway, exchange, "the time is up")
         raise RefusedError(_timeout_refusal(exchange)) from None
     finally:
-        exchange.scope = None
+        exchange.timeout = None
         settle(gateway, exchange, reservation)
 
 
@@ -156,7 +156,7 @@
 
 async def _run_attempts(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
     now_s = time.monotonic()
-    if exchange.ends_s <= now_s:
+    if exchange.deadline_at_s <= now_s:
         # An expired asyncio timeout takes effect at the next suspension only, which
         # comes after the request was sent.
         raise TimeoutError
@@ -168,13 +168,13 @@
             case Success(None):
                 assert exchange.response is not None
                 await finish_stream(exchange)
-                answered(gateway, exchange, exchange.response.status)
+                record_answer(gateway, exchange, exchange.response.status)
                 return exchange.response
             case Success(BufferedAnswer() as answer):
                 retry = answer.status >= 500 and exchange.route.may_repeat
                 if not (retry and _within_limits(exchange) and budget.take()):
-                    answered(gateway, exchange, answer.status)
-                    return plain(gateway, answer)
+                    record_answer(gateway, exchange, answer.status)
+                    return make_response(gateway, answer)
             case Failure(failure):
                 retry = _is_retryable(exchange, failure) and _within_limits(exchange)
                 # A request that was never sent added no load, so the next attempt
@@ -196,11 +196,11 @@
 
 
 def _within_limits(exchange: Exchange) -> bool:
-    left_s = exchange.ends_s - time.monotonic()
-    sends = len(exchange.tried) - exchange.unsent
+    left_s = exchange.deadline_at_s - time.monotonic()
+    sends = len(exchange.tried) - exchange.unreached
     return (
         sends < exchange.route.max_attempts
-        and exchange.unsent < MAX_CONNECT_FAILURES
+        and exchange.unreached < MAX_CONNECT_FAILURES
         and left_s > RETRY_ELSEWHERE_AFTER_S
     )
 
@@ -233,7 +233,7 @@
             return Failure(_no_endpoint("the endpoint left as it was claimed"))
         result = await _send_suspect(gateway, exchange, chosen)
         match result:
-            case Failure(failure) if failure.broke:
+            case Failure(failure) if failure.was_interrupted:
                 end_trial = release_when_known
         return result
     finally:
@@ -273,12 +273,12 @@
                 book.succeeded(endpoint)
                 ended_well(gateway, exchange)
         case Failure(failure):
-            exchange.unsent += failure.gone or not failure.sent
-            attempt_failed(gateway, exchange, endpoint.endpoint_id, failure)
+            exchange.unreached += failure.address_reused or not failure.sent
+            record_attempt_failure(gateway, exchange, endpoint.endpoint_id, failure)
             book.failed(endpoint, failure.hard, time.monotonic())
-            if failure.broke:
+            if failure.was_interrupted:
                 gateway.ended_endpoints.broke(endpoint, exchange.fingerprint)
-            if failure.gone:
+            if failure.address_reused:
                 # While registrations cannot be read, the next request would also be
                 # sent there, and be refused if its route allows one attempt only.
                 book.disowned(endpoint.endpoint_id, time.monotonic())
@@ -298,7 +298,7 @@
     gateway: Gateway, exchange: Exchange, failure: AttemptFailure
 ) -> web.StreamResponse:
     if exchange.response is not None:
-        return cut(gateway, exchange, failure.detail)
+        return abort_stream(gateway, exchange, failure.detail)
     if exchange.may_have_run:
         raise RefusedError(may_have_run(failure.reason, None, failure.detail))
     if failure.reason is Reason.QUARANTINED:
