--- a/src/celerytrack/gateway/crash_detector.py
+++ b/src/celerytrack/gateway/crash_detector.py
@@ -15,7 +15,7 @@
 from celerytrack.ids import EndpointId
 from celerytrack.process_end import has_ended
 
-STARTED_AGAIN_S = 3.0
+RESTART_REPORT_S = 3.0
 """Time in which a process that restarts at once under the same id registers again."""
 
 
@@ -23,32 +23,32 @@
 class CrashedEndpoint:
     """An endpoint that crashed while it ran requests.
 
-    :ivar broken: the requests of this entry that were interrupted.
+    :ivar interrupted: the requests of this entry that were interrupted.
     """
 
     endpoint: Endpoint
-    broken: frozenset[Fingerprint]
+    interrupted: frozenset[Fingerprint]
 
 
 class CrashDetector:
     """Checks whether endpoints crashed after requests to them were interrupted.
 
-    :param superseded: whether a later incarnation has registered under an endpoint's
+    :param is_superseded: whether a later incarnation has registered under an endpoint's
         id.
-    :param take: called with each endpoint that crashed.
+    :param on_crash: called with each endpoint that crashed.
     """
 
     def __init__(
         self,
-        superseded: Callable[[Endpoint], bool],
-        take: Callable[[CrashedEndpoint], None],
+        is_superseded: Callable[[Endpoint], bool],
+        on_crash: Callable[[CrashedEndpoint], None],
     ) -> None:
-        self._superseded = superseded
-        self._take = take
+        self._is_superseded = is_superseded
+        self._on_crash = on_crash
         self._interrupted: dict[EndpointId, set[Fingerprint]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def broke(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
+    def report_interrupted(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
         """Check ``endpoint`` for a crash after a request to it was interrupted.
 
         A draining endpoint is not checked: it exits on its own, whatever it runs.
@@ -74,8 +74,8 @@
         try:
             ended = await has_ended(endpoint.registration.address)
         finally:
-            broken = frozenset(self._interrupted.pop(endpoint.endpoint_id))
-        if not ended and not self._superseded(endpoint):
-            await asyncio.sleep(STARTED_AGAIN_S)
-        if ended or self._superseded(endpoint):
-            self._take(CrashedEndpoint(endpoint, broken))
+            interrupted = frozenset(self._interrupted.pop(endpoint.endpoint_id))
+        if not ended and not self._is_superseded(endpoint):
+            await asyncio.sleep(RESTART_REPORT_S)
+        if ended or self._is_superseded(endpoint):
+            self._on_crash(CrashedEndpoint(endpoint, interrupted))
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -37,14 +37,14 @@
     refuse,
 )
 from celerytrack.gateway.quarantine import (
-    choose,
-    claim,
-    ended_well,
-    held_back,
-    not_sent,
-    release,
-    release_when_known,
-    standing_of,
+    begin_probe,
+    cancel_probe,
+    cancel_probe_later,
+    choose_endpoint,
+    quarantine_failure,
+    quarantine_refusal,
+    record_success,
+    suspect_state_of,
 )
 from celerytrack.gateway.refusals import RefusedError
 from celerytrack.gateway.state import Gateway
@@ -106,8 +106,8 @@
 
     :raises RefusedError: if endpoints crashed repeatedly while running the request.
     """
-    if standing_of(gateway, exchange, now_s) is Standing.SHUT_OUT:
-        raise RefusedError(held_back(gateway, exchange, now_s))
+    if suspect_state_of(gateway, exchange, now_s) is Standing.SHUT_OUT:
+        raise RefusedError(quarantine_refusal(gateway, exchange, now_s))
 
 
 def _admit_while_draining(
@@ -209,35 +209,35 @@
     now_s = time.monotonic()
     if gateway.endpoints_late(now_s):
         return Failure(_no_endpoint("what is known of endpoints is too old"))
-    standing = standing_of(gateway, exchange, now_s)
+    standing = suspect_state_of(gateway, exchange, now_s)
     if standing is Standing.SHUT_OUT:
-        return Failure(not_sent(gateway, exchange, now_s))
-    chosen = choose(gateway, exchange, standing, now_s)
+        return Failure(quarantine_failure(gateway, exchange, now_s))
+    chosen = choose_endpoint(gateway, exchange, standing, now_s)
     if chosen is None:
         return Failure(_no_endpoint("none has room"))
     if standing is Standing.CLEAR:
         return await _send(gateway, exchange, chosen)
     if standing is Standing.WATCHED:
         return await _send_suspect(gateway, exchange, chosen)
-    return await _run_trial(gateway, exchange, chosen)
+    return await _send_probe(gateway, exchange, chosen)
 
 
-async def _run_trial(
+async def _send_probe(
     gateway: Gateway, exchange: Exchange, chosen: Choice
 ) -> AttemptResult:
-    if not await claim(gateway, exchange, chosen.endpoint):
-        return Failure(not_sent(gateway, exchange, time.monotonic()))
-    end_trial = release
+    if not await begin_probe(gateway, exchange, chosen.endpoint):
+        return Failure(quarantine_failure(gateway, exchange, time.monotonic()))
+    finish_probe = cancel_probe
     try:
         if not gateway.endpoints.takes_work(chosen.endpoint):
             return Failure(_no_endpoint("the endpoint left as it was claimed"))
         result = await _send_suspect(gateway, exchange, chosen)
         match result:
             case Failure(failure) if failure.was_interrupted:
-                end_trial = release_when_known
+                finish_probe = cancel_probe_later
         return result
     finally:
-        end_trial(gateway, exchange)
+        finish_probe(gateway, exchange)
 
 
 async def _send_suspect(
@@ -271,13 +271,15 @@
                 book.failed(endpoint, False, time.monotonic())
             else:
                 book.succeeded(endpoint)
-                ended_well(gateway, exchange)
+                record_success(gateway, exchange)
         case Failure(failure):
             exchange.unreached += failure.address_reused or not failure.sent
             record_attempt_failure(gateway, exchange, endpoint.endpoint_id, failure)
             book.failed(endpoint, failure.hard, time.monotonic())
             if failure.was_interrupted:
-                gateway.ended_endpoints.broke(endpoint, exchange.fingerprint)
+                gateway.ended_endpoints.report_interrupted(
+                    endpoint, exchange.fingerprint
+                )
             if failure.address_reused:
                 # While registrations cannot be read, the next request would also be
                 # sent there, and be refused if its route allows one attempt only.
@@ -302,7 +304,7 @@
     if exchange.may_have_run:
         raise RefusedError(may_have_run(failure.reason, None, failure.detail))
     if failure.reason is Reason.QUARANTINED:
-        raise RefusedError(held_back(gateway, exchange, time.monotonic()))
+        raise RefusedError(quarantine_refusal(gateway, exchange, time.monotonic()))
     retry_after_s = (
         NO_ENDPOINT_RETRY_AFTER_S
         if failure.reason is Reason.NO_ENDPOINT
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -19,14 +19,14 @@
 
 _log = logging.getLogger(__name__)
 
-TRIAL_USUALLY_S = 1.0
+TYPICAL_PROBE_S = 1.0
 """``Retry-After`` while a request is on trial: most trials have ended by then."""
-NOT_BY_ITSELF_S = 3_600.0
+OPERATOR_LIFT_RETRY_AFTER_S = 3_600.0
 """``Retry-After`` if only an operator can lift the quarantine, who may do so
 meanwhile."""
 
 
-def standing_of(gateway: Gateway, exchange: Exchange, now_s: float) -> Standing:
+def suspect_state_of(gateway: Gateway, exchange: Exchange, now_s: float) -> Standing:
     """Return the current standing of a request."""
     book = gateway.suspects.book
     if not book or not book.watches(exchange.place):
@@ -35,28 +35,30 @@
     return book.standing(exchange.fingerprint, builds, now_s)
 
 
-def held_back(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
+def quarantine_refusal(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
     """Return the refusal of a quarantined request."""
     allowed_in_s = gateway.suspects.book.back_in_s(exchange.fingerprint, now_s)
     if allowed_in_s is None:
-        allowed_in_s = NOT_BY_ITSELF_S
+        allowed_in_s = OPERATOR_LIFT_RETRY_AFTER_S
     detail = f"endpoints ended under request {exchange.fingerprint.hex()}"
-    retry_after_s = max(allowed_in_s, TRIAL_USUALLY_S)
+    retry_after_s = max(allowed_in_s, TYPICAL_PROBE_S)
     return did_not_run(Reason.QUARANTINED, retry_after_s, detail)
 
 
-def not_sent(gateway: Gateway, exchange: Exchange, now_s: float) -> AttemptFailure:
+def quarantine_failure(
+    gateway: Gateway, exchange: Exchange, now_s: float
+) -> AttemptFailure:
     """Return the attempt failure of a quarantined request.
 
     An earlier attempt may have sent the request.
     """
-    refusal = held_back(gateway, exchange, now_s)
+    refusal = quarantine_refusal(gateway, exchange, now_s)
     return AttemptFailure(
         Reason.QUARANTINED, Verdict.DID_NOT_RUN, False, refusal.detail, sent=False
     )
 
 
-def choose(
+def choose_endpoint(
     gateway: Gateway, exchange: Exchange, standing: Standing, now_s: float
 ) -> Choice | None:
     """Choose an endpoint for a request.
@@ -96,7 +98,7 @@
     )
 
 
-async def claim(gateway: Gateway, exchange: Exchange, endpoint: Endpoint) -> bool:
+async def begin_probe(gateway: Gateway, exchange: Exchange, endpoint: Endpoint) -> bool:
     """Begin an isolated trial of a request.
 
     The other entries are notified before the request is sent.
@@ -108,7 +110,7 @@
     trial = Trial(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
     members = gateway.keeper.members.live(now_s)
     others = [member.entry_id for member in members]
-    if not await gateway.suspects.claim(trial, others):
+    if not await gateway.suspects.begin_probe(trial, others):
         return False
     log_event(
         _log,
@@ -121,22 +123,22 @@
     return True
 
 
-def release(gateway: Gateway, exchange: Exchange) -> None:
+def cancel_probe(gateway: Gateway, exchange: Exchange) -> None:
     """End an inconclusive trial, so that another may begin."""
     keeper = gateway.suspects
     keeper.publish(keeper.book.release(exchange.fingerprint))
 
 
-def release_when_known(gateway: Gateway, exchange: Exchange) -> None:
+def cancel_probe_later(gateway: Gateway, exchange: Exchange) -> None:
     """End an interrupted trial once it is known whether the endpoint crashed.
 
     A crash that is found meanwhile ends the trial itself.
     """
     loop = asyncio.get_running_loop()
-    loop.call_later(ENDING_KNOWN_S, release, gateway, exchange)
+    loop.call_later(ENDING_KNOWN_S, cancel_probe, gateway, exchange)
 
 
-def ended_well(gateway: Gateway, exchange: Exchange) -> None:
+def record_success(gateway: Gateway, exchange: Exchange) -> None:
     """Clear a request after a complete answer: it did not cause the crashes of other
     endpoints."""
     keeper = gateway.suspects
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -170,7 +170,7 @@
             Event.ENDPOINT_ENDED,
             logging.WARNING,
             endpoint=ended.endpoint.endpoint_id,
-            fingerprints=sorted(f.hex() for f in ended.broken),
+            fingerprints=sorted(f.hex() for f in ended.interrupted),
         )
         now_s = time.monotonic()
         registration = ended.endpoint.registration
@@ -178,7 +178,7 @@
         ending = Ending(
             registration.endpoint_id, registration.born_ms, registration.build
         )
-        found = self.suspects.book.witnessed(ending, ended.broken, now_s)
+        found = self.suspects.book.witnessed(ending, ended.interrupted, now_s)
         self.suspects.publish(found)
         self._log_shut_out(found)
 
@@ -192,7 +192,7 @@
         now_s = time.monotonic()
         for evidence in findings.seen:
             self.endpoints.ended(evidence.ending.endpoint_id, now_s)
-        self.suspects.hear(findings)
+        self.suspects.receive(findings)
 
     def _log_shut_out(self, findings: Findings) -> None:
         """Log once who is shut out by what was found."""
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -38,12 +38,12 @@
 must know of a suspect."""
 READ_PAUSE_S = 0.02
 """Pause between two reads, so that records written together are read together."""
-TOLD_WITHIN_S = 0.5
+PUBLISH_TIMEOUT_S = 0.5
 """Longest wait until a trial is on the log, where the other entries can read it. A slow
 store answers in less."""
 WRITE_PAUSE_S = 0.1
 """Shortest time between two records of this entry."""
-PAUSE_PER_ENTRY_S = 0.002
+WRITE_PAUSE_PER_ENTRY_S = 0.002
 """Added to ``WRITE_PAUSE_S`` for each entry, so that the total write rate of the fleet
 stays within what the store accepts."""
 
@@ -52,7 +52,7 @@
     """Writes this entry's record of suspects and reads the records of other entries.
 
     :param boot_id: identifies this run of the process as a writer.
-    :param tell: sends a note to the other entries.
+    :param broadcast: sends a note to the other entries.
     :param on_change: called after findings of another entry are merged.
     """
 
@@ -62,7 +62,7 @@
         entry_id: EntryId,
         boot_id: str,
         eras: EraWatch,
-        tell: Callable[[Findings], None],
+        broadcast: Callable[[Findings], None],
         on_change: Callable[[Findings], None],
     ) -> None:
         self.book = SuspectBook(entry_id)
@@ -71,7 +71,7 @@
         self._store = store
         self._entry_id = entry_id
         self._name = f"{entry_id}/{boot_id}"
-        self._tell = tell
+        self._broadcast = broadcast
         self._on_change = on_change
         self._tail = KeyedTail(
             store, SUSPECTS_TOPIC, self._apply, self._reload, eras=eras
@@ -96,15 +96,15 @@
         """Send findings to the other entries in a note and through the log."""
         if findings.empty:
             return
-        self._tell(findings)
+        self._broadcast(findings)
         self._schedule_write()
 
-    def hear(self, findings: Findings) -> None:
+    def receive(self, findings: Findings) -> None:
         """Merge the findings in a note of another entry."""
         self.book.heard(findings, False, time.monotonic())
         self._on_change(findings)
 
-    async def claim(self, trial: Trial, others: Sequence[EntryId]) -> bool:
+    async def begin_probe(self, trial: Trial, others: Sequence[EntryId]) -> bool:
         """Begin an isolated trial of a request.
 
         While the log accepts no records, some entries may not learn of the trial. Then
@@ -119,7 +119,9 @@
             return False
         self.publish(findings)
         try:
-            logged = self._log_writable and await self._wait_until_logged(TOLD_WITHIN_S)
+            logged = self._log_writable and await self._wait_until_logged(
+                PUBLISH_TIMEOUT_S
+            )
         except asyncio.CancelledError:
             # The caller has disconnected, or the deadline has passed.
             self.publish(self.book.release(trial.fingerprint))
@@ -164,7 +166,7 @@
             self._written_changes = changes
             self._write_done.set()
             self._write_done = asyncio.Event()
-            await asyncio.sleep(WRITE_PAUSE_S + self.entries * PAUSE_PER_ENTRY_S)
+            await asyncio.sleep(WRITE_PAUSE_S + self.entries * WRITE_PAUSE_PER_ENTRY_S)
 
     def _encode_record(self) -> bytes:
         record = self.book.record(time.monotonic(), time.time())
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -117,7 +117,7 @@
         now_s = asyncio.get_running_loop().time()
         for evidence in findings.seen:
             self._avoided_s[evidence.ending.endpoint_id] = now_s + AVOIDED_S
-        self.keeper.hear(findings)
+        self.keeper.receive(findings)
 
     async def serve(
         self, request: ModelRequest, others: Sequence[EntryId]
@@ -209,7 +209,7 @@
     ) -> bool:
         assert self.keeper is not None
         trial = Trial(request.fingerprint, endpoint.endpoint_id, TRIAL_S)
-        return await self.keeper.claim(trial, others)
+        return await self.keeper.begin_probe(trial, others)
 
     def _release(self, request: ModelRequest) -> None:
         if self.keeper is not None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -244,7 +244,7 @@
                 ending = Ending(EndpointId(f"i-{number}"))
                 keeper.book.witnessed(ending, [known], time.monotonic())
             trial = Trial(known, EndpointId("i-9"), 60.0)
-            self.assertEqual(await keeper.claim(trial, others), may)
+            self.assertEqual(await keeper.begin_probe(trial, others), may)
 
 
 class EvidenceTest(unittest.IsolatedAsyncioTestCase):
