--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -52,9 +52,9 @@
     url = yarl.URL(
         f"http://{endpoint.registration.address}{request.raw_path}", encoded=True
     )
-    connections = gateway.connections.of(endpoint.endpoint_id)
+    connections = gateway.connections.get(endpoint.endpoint_id)
     try:
-        async with connections.until_lost():
+        async with connections.abort_on_loss():
             return await _send(gateway, exchange, sent, connections, url, envelope)
     except EndpointGoneError:
         return _unusable_answer("the endpoint started again")
--- a/src/celerytrack/gateway/connections.py
+++ b/src/celerytrack/gateway/connections.py
@@ -37,7 +37,7 @@
         self._requests: set[asyncio.Timeout] = set()
 
     @contextlib.asynccontextmanager
-    async def until_lost(self) -> AsyncIterator[None]:
+    async def abort_on_loss(self) -> AsyncIterator[None]:
         """Abort the enclosed request if the incarnation is lost.
 
         The connection alone does not end the request: a connection to an instance that
@@ -57,7 +57,7 @@
         finally:
             self._requests.discard(scope)
 
-    async def lose(self) -> None:
+    async def abort(self) -> None:
         """Abort the requests and close the connections."""
         now_s = asyncio.get_running_loop().time()
         for scope in self._requests:
@@ -74,19 +74,19 @@
         self._current: dict[EndpointId, IncarnationConnections] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
-    def of(self, endpoint_id: EndpointId) -> IncarnationConnections:
+    def get(self, endpoint_id: EndpointId) -> IncarnationConnections:
         """Return the connections to an endpoint's current incarnation."""
         current = self._current.get(endpoint_id)
         if current is None:
             current = self._current[endpoint_id] = IncarnationConnections()
         return current
 
-    def lose(self, endpoint_id: EndpointId) -> None:
+    def drop(self, endpoint_id: EndpointId) -> None:
         """Close the connections to an incarnation that is gone; another may follow."""
         lost = self._current.pop(endpoint_id, None)
         if lost is None:
             return
-        task = asyncio.get_running_loop().create_task(lost.lose())
+        task = asyncio.get_running_loop().create_task(lost.abort())
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
 
@@ -94,4 +94,4 @@
         """Close all connections."""
         current = list(self._current.values())
         self._current.clear()
-        await asyncio.gather(*(c.lose() for c in current), *self._closing)
+        await asyncio.gather(*(c.abort() for c in current), *self._closing)
--- a/src/celerytrack/gateway/draining.py
+++ b/src/celerytrack/gateway/draining.py
@@ -12,43 +12,43 @@
 
 _log = logging.getLogger(__name__)
 
-LAST_ROW_MOST_S = 1.0
+LAST_ROW_TIMEOUT_S = 1.0
 """Longest wait for the row that returns the unspent tokens. A slow store accepts it
 within this time; an unreachable store is not waited for."""
-LOGGED_MOST = 20
+MAX_LOGGED_REQUESTS = 20
 """Requests in progress that are named in one log line."""
-TOLD_TIMES = 3
+LEAVING_MESSAGE_COUNT = 3
 """How many times the other entries are notified directly, since datagrams may be
 lost."""
-TELL_AGAIN_S = 0.1
-ANSWERED_WITHIN_S = 0.2
+LEAVING_MESSAGE_INTERVAL_S = 0.1
+ABORT_ANSWER_TIMEOUT_S = 0.2
 """Time to answer the requests that an unplanned stop aborts."""
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 """Interval at which a planned stop checks the condition that it waits for."""
 
 
-async def leave(gateway: Gateway, stop: PlannedStop, listeners: Listeners) -> None:
+async def drain(gateway: Gateway, stop: PlannedStop, listeners: Listeners) -> None:
     """Drain the entry: redirect callers, then wait for the requests in progress."""
     log_event(_log, Event.PROCESS_STOPPING, in_flight=gateway.in_flight)
     for exchange in gateway.exchanges:
         exchange.shorten_deadline(stop.answers_end_s)
     gateway.keeper.leave()
-    for _ in range(TOLD_TIMES):
+    for _ in range(LEAVING_MESSAGE_COUNT):
         gateway.tell_leaving()
-        await asyncio.sleep(TELL_AGAIN_S)
+        await asyncio.sleep(LEAVING_MESSAGE_INTERVAL_S)
     await asyncio.sleep(stop.serves_until_s - time.monotonic())
     log_stage(gateway, stop, listeners, "callers gone")
     await _wait_until(lambda: not gateway.in_flight, stop.closes_s)
     gateway.closing = True
     log_stage(gateway, stop, listeners, "requests over")
-    last_row_timeout_at_s = min(stop.closes_s, time.monotonic() + LAST_ROW_MOST_S)
+    last_row_timeout_at_s = min(stop.closes_s, time.monotonic() + LAST_ROW_TIMEOUT_S)
     await gateway.keeper.publish_last(last_row_timeout_at_s)
     log_stage(gateway, stop, listeners, "last row")
     await _wait_until(lambda: not listeners.unsent_bytes(), stop.closes_s)
     log_stage(gateway, stop, listeners, "answers sent")
 
 
-async def end_now(gateway: Gateway, now_s: float) -> None:
+async def abort_requests(gateway: Gateway, now_s: float) -> None:
     """Abort the requests in progress, each with an answer, and admit no more.
 
     A fenced process must not continue to serve.
@@ -57,7 +57,7 @@
     gateway.closing = True
     for exchange in gateway.exchanges:
         exchange.shorten_deadline(now_s)
-    await _wait_until(lambda: not gateway.in_flight, now_s + ANSWERED_WITHIN_S)
+    await _wait_until(lambda: not gateway.in_flight, now_s + ABORT_ANSWER_TIMEOUT_S)
 
 
 def log_stage(
@@ -71,7 +71,7 @@
         after_ms=round((time.monotonic() - stop.began_s) * 1_000),
         in_flight=gateway.in_flight,
         unsent_bytes=listeners.unsent_bytes(),
-        requests=[e.facts.request_id for e in gateway.exchanges][:LOGGED_MOST],
+        requests=[e.facts.request_id for e in gateway.exchanges][:MAX_LOGGED_REQUESTS],
     )
 
 
@@ -81,4 +81,4 @@
         left_s = timeout_at_s - time.monotonic()
         if left_s <= 0:
             return
-        await asyncio.sleep(min(LOOK_S, left_s))
+        await asyncio.sleep(min(POLL_INTERVAL_S, left_s))
--- a/src/celerytrack/gateway/listeners.py
+++ b/src/celerytrack/gateway/listeners.py
@@ -6,15 +6,15 @@
 
 from aiohttp import web
 
-CALLER_IDLE_S = 60.0
+KEEPALIVE_TIMEOUT_S = 60.0
 """Idle time after which a caller's connection is closed: several times the idle time
 after which callers reuse it no more, so that no request meets the close."""
-HEADER_BYTES = 65_536
+MAX_HEADER_BYTES = 65_536
 """Limit of header bytes: four times what callers may send."""
-BODY_BYTES = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 """Limit of body bytes whatever the configuration allows, to bound memory; a request
 with a larger body is refused."""
-CANCELLED_WITHIN_S = 0.05
+SHUTDOWN_TIMEOUT_S = 0.05
 """Time for a request that is in progress when its listener closes to end, and the same
 time again after it is cancelled."""
 
@@ -38,12 +38,12 @@
             request_factory=_make_request,
             access_log=None,
             handler_cancellation=True,
-            keepalive_timeout=CALLER_IDLE_S,
-            max_line_size=HEADER_BYTES,
-            max_field_size=HEADER_BYTES,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
             auto_decompress=False,
         )
-        runner = web.ServerRunner(server, shutdown_timeout=CANCELLED_WITHIN_S)
+        runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         self._servers.append(server)
         self._runners.append(runner)
         await runner.setup()
@@ -69,5 +69,5 @@
     # aiohttp limits a body to 1 MiB by default; callers may send more.
     loop = asyncio.get_running_loop()
     return web.BaseRequest(
-        message, payload, protocol, writer, task, loop, client_max_size=BODY_BYTES
+        message, payload, protocol, writer, task, loop, client_max_size=MAX_BODY_BYTES
     )
--- a/src/celerytrack/gateway/logs.py
+++ b/src/celerytrack/gateway/logs.py
@@ -9,7 +9,7 @@
 
 from celerytrack.events import Event
 
-LINES_PER_S = 150.0
+MAX_LINES_PER_S = 150.0
 """Sustained rate of the token bucket: a few lines for each request of a busy
 instance."""
 LINES_BURST = 600.0
@@ -40,7 +40,7 @@
         Warnings and errors are exempt from the rate limit.
         """
         now_s = time.monotonic()
-        refill = (now_s - self._refilled_at_s) * LINES_PER_S
+        refill = (now_s - self._refilled_at_s) * MAX_LINES_PER_S
         self._bucket = min(LINES_BURST, self._bucket + refill)
         self._refilled_at_s = now_s
         if self._bucket < 1 and record.levelno < logging.WARNING:
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from celerytrack.events import Event, log_event
-from celerytrack.gateway.draining import end_now, leave, log_stage
+from celerytrack.gateway.draining import abort_requests, drain, log_stage
 from celerytrack.gateway.gifts import answer_peer
 from celerytrack.gateway.listeners import Listeners
 from celerytrack.gateway.pipeline import handle
@@ -39,7 +39,7 @@
 ENDPOINT_POLL_S = 0.6
 """Interval of reads of the endpoints' registrations: two seconds after an endpoint
 begins to drain it must get no new requests, even if the store answers slowly."""
-CONFIG_WAIT_S = 1.0
+CONFIG_LONG_POLL_S = 1.0
 """Longest time the store may hold a read of the configuration open. If the store starts
 to reject this instance while it holds a read, that read is never answered although its
 connection looks healthy, and routes long in force are denied. With this wait and the
@@ -48,7 +48,7 @@
 """Pause between two reads of the configuration. While large versions follow each other,
 continuous reads would use up the bandwidth of a slow link and delay registrations by
 seconds."""
-ABORTED_WITHIN_S = 1.0
+ABORT_TIMEOUT_S = 1.0
 """Time to close listeners and connections in an unplanned stop."""
 
 
@@ -117,7 +117,7 @@
         loops = (
             gateway.keeper.run(),
             gateway.suspects.run(),
-            self._follow(make_config_tail(gateway), CONFIG_PAUSE_S, CONFIG_WAIT_S),
+            self._follow(make_config_tail(gateway), CONFIG_PAUSE_S, CONFIG_LONG_POLL_S),
             self._follow(make_endpoint_tail(gateway), ENDPOINT_POLL_S, 0.0),
         )
         self._tasks = [asyncio.create_task(loop) for loop in loops]
@@ -185,12 +185,12 @@
         gateway = self._gateway
         stop = gateway.stop
         assert stop is not None
-        await leave(gateway, stop, self._listeners)
+        await drain(gateway, stop, self._listeners)
         await self.abort(stop.closing_s)
         log_stage(gateway, stop, self._listeners, "closed")
 
     async def _abort_requests(self) -> None:
-        await end_now(self._gateway, time.monotonic())
+        await abort_requests(self._gateway, time.monotonic())
         await self.abort()
 
     def stop(self) -> None:
@@ -201,7 +201,7 @@
             gateway.stop = PlannedStop(time.monotonic(), grace_s)
         self._stop.set()
 
-    async def abort(self, within_s: float = ABORTED_WITHIN_S) -> None:
+    async def abort(self, within_s: float = ABORT_TIMEOUT_S) -> None:
         """Cancel the tasks and close the listeners and connections at once.
 
         :param within_s: timeout, after which open connections are left to the exit of
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -119,9 +119,7 @@
             return False
         self.publish(findings)
         try:
-            logged = self._log_writable and await self._wait_until_logged(
-                PUBLISH_TIMEOUT_S
-            )
+            logged = self._log_writable and await self._wait_logged(PUBLISH_TIMEOUT_S)
         except asyncio.CancelledError:
             # The caller has disconnected, or the deadline has passed.
             self.publish(self.book.release(trial.fingerprint))
@@ -138,7 +136,7 @@
         first = rendezvous(fingerprint.hex(), [*others, self._entry_id], 1)
         return first == [self._entry_id]
 
-    async def _wait_until_logged(self, timeout_s: float) -> bool:
+    async def _wait_logged(self, timeout_s: float) -> bool:
         """Wait until all published changes are on the log; whether they are in time."""
         wanted = self._changes
         try:
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -92,7 +92,7 @@
     def apply(record: KeyedRecord) -> None:
         now_s = time.monotonic()
         for endpoint in gateway.endpoints.forget_gone(now_s):
-            gateway.connections.lose(endpoint.endpoint_id)
+            gateway.connections.drop(endpoint.endpoint_id)
             log_event(_log, Event.ENDPOINT_GONE, endpoint=endpoint.endpoint_id)
         endpoint_id = EndpointId(record.key)
         if record.value is None:
@@ -108,7 +108,7 @@
             return
         took = gateway.endpoints.register(registration, now_s)
         if took is Registered.STARTED_AGAIN:
-            gateway.connections.lose(endpoint_id)
+            gateway.connections.drop(endpoint_id)
         if took is not Registered.SAME:
             _log_registered(registration, took)
 
