--- a/tests/gateway_processes.py
+++ b/tests/gateway_processes.py
@@ -110,7 +110,7 @@
         if self._process.returncode is None:
             os.kill(self._process.pid, number)
 
-    async def ended(self, within_s: float) -> int | None:
+    async def wait_for_exit(self, within_s: float) -> int | None:
         """Its exit status, or ``None`` if it still runs after ``within_s``."""
         assert self._process is not None
         try:
@@ -124,7 +124,7 @@
             self._process.kill()
             await self._process.wait()
 
-    def lines(self, event: str) -> list[dict[str, object]]:
+    def log_records(self, event: str) -> list[dict[str, object]]:
         """What it logged of one event."""
         lines = self.log_path.read_text().splitlines()
         found = [json.loads(line) for line in lines if line.startswith("{")]
--- a/tests/restored_site.py
+++ b/tests/restored_site.py
@@ -172,7 +172,7 @@
         await asyncio.gather(*stops)
 
     async def _start_again(self, gateway: GatewayProcess) -> None:
-        self.exits.append(await gateway.ended(STOP_MOST_S))
+        self.exits.append(await gateway.wait_for_exit(STOP_MOST_S))
         await gateway.start()
 
     # -- callers ------------------------------------------------------------
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -146,7 +146,7 @@
                 await asyncio.sleep(0.1)
             self._whole(await asking)
             self._whole(await site.ask_all())
-            self.assertIsNone(await site.gateway.ended(0.1))
+            self.assertIsNone(await site.gateway.wait_for_exit(0.1))
 
     @params(0.0, 0.3)
     def test_a_reload_in_a_planned_stop_cuts_nothing(self, after_s):
@@ -159,13 +159,13 @@
             await site.in_flight(5)
             site.gateway.signal(signal.SIGTERM)
             # Of two signals that wait for a process the lower number goes first.
-            stopping = functools.partial(site.gateway.lines, "process_stopping")
+            stopping = functools.partial(site.gateway.log_records, "process_stopping")
             await site.gateway.until(lambda: bool(stopping()), 2.0)
             await asyncio.sleep(after_s)
             site.write_settings(settings_text(1, site.store_address, 1.0))
             site.gateway.signal(signal.SIGHUP)
             self._whole(await asking)
-            self.assertEqual(await site.gateway.ended(8.0), 0)
+            self.assertEqual(await site.gateway.wait_for_exit(8.0), 0)
 
     def test_a_reload_does_not_name_an_address_where_nobody_listens(self):
         """Guards against callers sent to a listener that was never opened."""
@@ -192,7 +192,7 @@
             try:
                 await self._importing(site.gateway)
                 site.gateway.signal(signal.SIGHUP)
-                self.assertIsNone(await site.gateway.ended(1.0), "it ended")
+                self.assertIsNone(await site.gateway.wait_for_exit(1.0), "it ended")
                 await starting
                 self._whole(await site.ask_all())
             finally:
@@ -259,8 +259,8 @@
                 site.put_config(data)
                 await asyncio.sleep(0.3)
             answers = await asking
-            self.assertGreaterEqual(len(site.gateway.lines("config_applied")), 2)
-            self.assertEqual(site.gateway.lines("config_rejected"), [])
+            self.assertGreaterEqual(len(site.gateway.log_records("config_applied")), 2)
+            self.assertEqual(site.gateway.log_records("config_rejected"), [])
             for status, body in answers:
                 self.assertEqual(status, 200)
                 self.assertTrue(body == b"done" or body.count(b"data: ") == EVENTS)
--- a/tests/test_own_end.py
+++ b/tests/test_own_end.py
@@ -29,7 +29,7 @@
             producers = site.log.topic(ENTRIES_TOPIC).producers
             for name, (epoch, number) in list(producers.items()):
                 producers[name] = (epoch + 1, number)
-            self.assertEqual(await site.gateway.ended(3.0), 1)
+            self.assertEqual(await site.gateway.wait_for_exit(3.0), 1)
             outcomes = await asyncio.gather(*asking)
             got = [(outcome.status, outcome.whole) for outcome in outcomes]
             self.assertEqual(got, [(status, whole)] * 4)
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -269,7 +269,7 @@
             site.gateway.signal(signal.SIGTERM)
             asked: dict[str, asyncio.Task[Outcome]] = {}
             # One at a time, with moments at which none is in progress.
-            while await site.gateway.ended(0.45) is None:
+            while await site.gateway.wait_for_exit(0.45) is None:
                 name = f"r{len(asked)}"
                 task = asyncio.create_task(site.ask("/once/x", request_id=name))
                 asked[name] = task
@@ -323,10 +323,10 @@
         """Stop the gateway; how long it took to end by itself."""
         began_s = time.monotonic()
         site.gateway.signal(signal.SIGTERM)
-        status = await site.gateway.ended(GRACE_S)
+        status = await site.gateway.wait_for_exit(GRACE_S)
         took_s = time.monotonic() - began_s
-        self.assertEqual(status, 0, site.gateway.lines("stop_stage"))
-        self.assertEqual(len(site.gateway.lines("process_stopped")), 1)
+        self.assertEqual(status, 0, site.gateway.log_records("stop_stage"))
+        self.assertEqual(len(site.gateway.log_records("process_stopped")), 1)
         return took_s
 
 
--- a/tests/test_planned_stop_review.py
+++ b/tests/test_planned_stop_review.py
@@ -122,15 +122,15 @@
             await asyncio.sleep(stops_s + after_s - time.monotonic())
             caller = Caller(site)
             await caller.run()
-            self.assertEqual(await site.gateway.ended(GRACE_S), 0)
+            self.assertEqual(await site.gateway.wait_for_exit(GRACE_S), 0)
             self.assertEqual(caller.lost, [], caller.statuses)
 
 
 async def _ends(site: Site, began_s: float) -> float:
     """Wait for the gateway's own end; how long after ``began_s`` it came."""
-    status = await site.gateway.ended(site.grace_s + began_s - time.monotonic())
+    status = await site.gateway.wait_for_exit(site.grace_s + began_s - time.monotonic())
     took_s = time.monotonic() - began_s
-    assert status == 0, (status, site.gateway.lines("stop_stage"))
+    assert status == 0, (status, site.gateway.log_records("stop_stage"))
     return took_s
 
 
@@ -238,7 +238,7 @@
             site.log.silent = True
             await site.gateway.spawn()
             await site.gateway.until(
-                lambda: len(site.gateway.lines("process_started")) == 2, 10.0
+                lambda: len(site.gateway.log_records("process_started")) == 2, 10.0
             )
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
