--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -29,7 +29,7 @@
     from celerytrack.findings import Ending
     from celerytrack.ids import EndpointId
 
-    book = fleet.gateways[0].suspects.book
+    book = fleet.gateways[0].suspects.tracker
     found = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
     for number in range(3):
         ending = Ending(EndpointId(f"i-{number}"))
--- a/src/celerytrack/gateway/crash_detector.py
+++ b/src/celerytrack/gateway/crash_detector.py
@@ -72,10 +72,10 @@
 
     async def _check_for_crash(self, endpoint: Endpoint) -> None:
         try:
-            ended = await has_ended(endpoint.registration.address)
+            crashed = await has_ended(endpoint.registration.address)
         finally:
             interrupted = frozenset(self._interrupted.pop(endpoint.endpoint_id))
-        if not ended and not self._is_superseded(endpoint):
+        if not crashed and not self._is_superseded(endpoint):
             await asyncio.sleep(RESTART_REPORT_S)
-        if ended or self._is_superseded(endpoint):
+        if crashed or self._is_superseded(endpoint):
             self._on_crash(CrashedEndpoint(endpoint, interrupted))
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -28,7 +28,7 @@
 
 def suspect_state_of(gateway: Gateway, exchange: Exchange, now_s: float) -> Standing:
     """Return the current standing of a request."""
-    book = gateway.suspects.book
+    book = gateway.suspects.tracker
     if not book or not book.watches(exchange.place):
         return Standing.CLEAR
     builds = gateway.endpoints.builds(exchange.service, now_s)
@@ -37,7 +37,7 @@
 
 def quarantine_refusal(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
     """Return the refusal of a quarantined request."""
-    allowed_in_s = gateway.suspects.book.back_in_s(exchange.fingerprint, now_s)
+    allowed_in_s = gateway.suspects.tracker.back_in_s(exchange.fingerprint, now_s)
     if allowed_in_s is None:
         allowed_in_s = OPERATOR_LIFT_RETRY_AFTER_S
     detail = f"endpoints ended under request {exchange.fingerprint.hex()}"
@@ -76,7 +76,7 @@
 def _endpoints_to_avoid(
     gateway: Gateway, standing: Standing, now_s: float
 ) -> set[EndpointId]:
-    book = gateway.suspects.book
+    book = gateway.suspects.tracker
     if not book:
         return set()
     endpoints = book.endpoints_on_trial(now_s)
@@ -126,7 +126,7 @@
 def cancel_probe(gateway: Gateway, exchange: Exchange) -> None:
     """End an inconclusive trial, so that another may begin."""
     keeper = gateway.suspects
-    keeper.publish(keeper.book.release(exchange.fingerprint))
+    keeper.publish(keeper.tracker.release(exchange.fingerprint))
 
 
 def cancel_probe_later(gateway: Gateway, exchange: Exchange) -> None:
@@ -142,9 +142,9 @@
     """Clear a request after a complete answer: it did not cause the crashes of other
     endpoints."""
     keeper = gateway.suspects
-    if not keeper.book or not keeper.book.watches(exchange.place):
+    if not keeper.tracker or not keeper.tracker.watches(exchange.place):
         return
-    findings = keeper.book.forgive(exchange.fingerprint, time.monotonic())
+    findings = keeper.tracker.forgive(exchange.fingerprint, time.monotonic())
     if findings.empty:
         return
     keeper.publish(findings)
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -129,7 +129,7 @@
             not self.leaving
             and self.table is not None
             and self.endpoints_known
-            and self.suspects.started
+            and self.suspects.loaded
             and self.keeper.started
         )
 
@@ -178,13 +178,13 @@
         ending = Ending(
             registration.endpoint_id, registration.born_ms, registration.build
         )
-        found = self.suspects.book.witnessed(ending, ended.interrupted, now_s)
+        found = self.suspects.tracker.witnessed(ending, ended.interrupted, now_s)
         self.suspects.publish(found)
         self._log_shut_out(found)
 
     def _tell_findings(self, findings: Findings) -> None:
         members = self.keeper.members.live(time.monotonic())
-        self.suspects.entries = len(members) + 1
+        self.suspects.entry_count = len(members) + 1
         addresses = [member.peer_address for member in members]
         self.notes.tell_findings(addresses, findings)
 
@@ -198,7 +198,7 @@
         """Log once who is shut out by what was found."""
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
-            suspect = self.suspects.book.suspect(fingerprint, now_s)
+            suspect = self.suspects.tracker.suspect(fingerprint, now_s)
             if suspect.standing is not Standing.SHUT_OUT:
                 continue
             endings = frozenset(suspect.endings)
@@ -209,7 +209,7 @@
 
     def count_suspects(self) -> None:
         """Have the metrics tell how many requests are under suspicion."""
-        suspects = self.suspects.book.suspects(time.monotonic())
+        suspects = self.suspects.tracker.suspects(time.monotonic())
         counts = collections.Counter(suspect.standing for suspect in suspects)
         for standing in (Standing.WATCHED, Standing.ALONE, Standing.SHUT_OUT):
             self.telemetry.suspects.labels(standing.value).set(counts[standing])
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -65,9 +65,9 @@
         broadcast: Callable[[Findings], None],
         on_change: Callable[[Findings], None],
     ) -> None:
-        self.book = SuspectBook(entry_id)
-        self.started = False
-        self.entries = 1
+        self.tracker = SuspectBook(entry_id)
+        self.loaded = False
+        self.entry_count = 1
         self._store = store
         self._entry_id = entry_id
         self._name = f"{entry_id}/{boot_id}"
@@ -87,7 +87,7 @@
     async def run(self) -> None:
         """Load all records, then follow the topic and write changes until cancelled."""
         await self._tail.load()
-        self.started = True
+        self.loaded = True
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._tail.follow(READ_PAUSE_S, READ_WAIT_S))
             tasks.create_task(self._write_changes())
@@ -101,7 +101,7 @@
 
     def receive(self, findings: Findings) -> None:
         """Merge the findings in a note of another entry."""
-        self.book.heard(findings, False, time.monotonic())
+        self.tracker.heard(findings, False, time.monotonic())
         self._on_change(findings)
 
     async def begin_probe(self, trial: Trial, others: Sequence[EntryId]) -> bool:
@@ -114,7 +114,7 @@
         :param others: the other live entries.
         :return: whether this entry may run the trial.
         """
-        findings = self.book.claim(trial, time.monotonic())
+        findings = self.tracker.claim(trial, time.monotonic())
         if findings is None:
             return False
         self.publish(findings)
@@ -122,12 +122,12 @@
             logged = self._log_writable and await self._wait_logged(PUBLISH_TIMEOUT_S)
         except asyncio.CancelledError:
             # The caller has disconnected, or the deadline has passed.
-            self.publish(self.book.release(trial.fingerprint))
+            self.publish(self.tracker.release(trial.fingerprint))
             raise
         allowed = logged or self._is_preferred(trial.fingerprint, others)
-        if allowed and self.book.holds(trial.fingerprint):
+        if allowed and self.tracker.holds(trial.fingerprint):
             return True
-        self.publish(self.book.release(trial.fingerprint))
+        self.publish(self.tracker.release(trial.fingerprint))
         return False
 
     def _is_preferred(
@@ -164,10 +164,12 @@
             self._written_changes = changes
             self._write_done.set()
             self._write_done = asyncio.Event()
-            await asyncio.sleep(WRITE_PAUSE_S + self.entries * WRITE_PAUSE_PER_ENTRY_S)
+            await asyncio.sleep(
+                WRITE_PAUSE_S + self.entry_count * WRITE_PAUSE_PER_ENTRY_S
+            )
 
     def _encode_record(self) -> bytes:
-        record = self.book.record(time.monotonic(), time.time())
+        record = self.tracker.record(time.monotonic(), time.time())
         return b"" if record.empty else encode_findings(record)
 
     async def _append(self, value: bytes) -> None:
@@ -209,7 +211,7 @@
     def _apply(self, record: KeyedRecord) -> None:
         is_own = record.key == self._entry_id
         value = record.value or b""
-        if is_own and self.started:
+        if is_own and self.loaded:
             self._check_own_record(value)
             return
         entry_id = EntryId(record.key)
@@ -222,9 +224,9 @@
         now_s = time.monotonic()
         if is_own:
             self._logged_value = value
-            self.book.adopt(findings, now_s)
+            self.tracker.adopt(findings, now_s)
         else:
-            self.book.heard(findings, True, now_s)
+            self.tracker.heard(findings, True, now_s)
         self._on_change(findings)
 
     def _check_own_record(self, value: bytes) -> None:
@@ -238,5 +240,5 @@
             self._schedule_write()
 
     def _reload(self, keys: set[str]) -> None:
-        if self.started and self._logged_value and self._entry_id not in keys:
+        if self.loaded and self._logged_value and self._entry_id not in keys:
             self._check_own_record(b"")
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -99,7 +99,7 @@
         )
         if self._remembers:
             self._task = on_instance(Clock(), keeper.run())
-            while not keeper.started:
+            while not keeper.loaded:
                 await asyncio.sleep(0.01)
         self.keeper = keeper
 
@@ -175,7 +175,7 @@
         if self.keeper is None or not self._remembers:
             return Standing.CLEAR
         now_s = asyncio.get_running_loop().time()
-        return self.keeper.book.standing(request.fingerprint, {BUILD}, now_s)
+        return self.keeper.tracker.standing(request.fingerprint, {BUILD}, now_s)
 
     def _choose(
         self, standing: Standing, tried: Sequence[EndpointId]
@@ -185,7 +185,7 @@
         known = self._service.registered(now_s, self._read_s)
         known = [e for e in known if e.endpoint_id not in tried]
         sound = [e for e in known if self._avoided_s.get(e.endpoint_id, 0.0) <= now_s]
-        apart = self.keeper.book.endpoints_on_trial(now_s)
+        apart = self.keeper.tracker.endpoints_on_trial(now_s)
         if standing is not Standing.CLEAR:
             apart |= {name for name, count in self._suspects_at.items() if count}
         free = [e for e in sound if e.endpoint_id not in apart]
@@ -213,18 +213,18 @@
 
     def _release(self, request: ModelRequest) -> None:
         if self.keeper is not None:
-            self.keeper.publish(self.keeper.book.release(request.fingerprint))
+            self.keeper.publish(self.keeper.tracker.release(request.fingerprint))
 
     def _saw_ending(self, request: ModelRequest, endpoint: ModelEndpoint) -> None:
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
         ending = Ending(endpoint.endpoint_id, 0, BUILD)
-        book = self.keeper.book
+        book = self.keeper.tracker
         self.keeper.publish(book.witnessed(ending, [request.fingerprint], now_s))
 
     def _ended_well(self, request: ModelRequest) -> None:
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
-        self.keeper.publish(self.keeper.book.forgive(request.fingerprint, now_s))
+        self.keeper.publish(self.keeper.tracker.forgive(request.fingerprint, now_s))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
 
 
 def _known(gateway: Gateway) -> list[Standing]:
-    suspects = gateway.suspects.book.suspects(time.monotonic())
+    suspects = gateway.suspects.tracker.suspects(time.monotonic())
     return [suspect.standing for suspect in suspects]
 
 
@@ -205,19 +205,19 @@
         self.keeper = self.fleet.gateways[0].suspects
         for number in range(2):
             ending = Ending(EndpointId(f"i-{number}"))
-            self.keeper.book.witnessed(ending, [self.known], time.monotonic())
+            self.keeper.tracker.witnessed(ending, [self.known], time.monotonic())
 
     async def test_a_caller_that_leaves_while_the_others_are_told(self) -> None:
         """Its claim stood until its deadline, and nobody tried the request."""
         self.fleet.log.silent = True
         trial = Trial(self.known, EndpointId("i-9"), 60.0)
-        claim = asyncio.create_task(self.keeper.claim(trial, []))
+        claim = asyncio.create_task(self.keeper.begin_probe(trial, []))
         await asyncio.sleep(0.1)
-        self.assertTrue(self.keeper.book.holds(self.known))
+        self.assertTrue(self.keeper.tracker.holds(self.known))
         claim.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await claim
-        self.assertFalse(self.keeper.book.holds(self.known))
+        self.assertFalse(self.keeper.tracker.holds(self.known))
         self.fleet.log.silent = False
 
     @params(("e0@127.0.0.1", True), ("another", False))
@@ -242,7 +242,7 @@
             fleet.log.refused.add(SUSPECTS_TOPIC)
             for number in range(2):
                 ending = Ending(EndpointId(f"i-{number}"))
-                keeper.book.witnessed(ending, [known], time.monotonic())
+                keeper.tracker.witnessed(ending, [known], time.monotonic())
             trial = Trial(known, EndpointId("i-9"), 60.0)
             self.assertEqual(await keeper.begin_probe(trial, others), may)
 
