--- a/tests/test_hostile_requests.py
+++ b/tests/test_hostile_requests.py
@@ -1,4 +1,4 @@
-"""Requests on which an entry itself could fail, sent again and again."""
+"""Tests with malformed requests that could crash an entry."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from tests.gateway_fleet import KEY, SEAL, Endpoint, Fleet
 
 ROUNDS = 3
-"""A request that ended its process once would do so each time."""
+"""Repetitions of each request: one that crashes an entry would do so each time."""
 RANDOM_REQUESTS = 150
 _HEAD = b"Host: h.example\r\nX-Attempt-Id: r1\r\nAuthorization: Bearer " + KEY.encode()
 _END = b"\r\nContent-Length: 4\r\n\r\nbody"
@@ -23,7 +23,7 @@
 
 
 async def _send(fleet: Fleet, raw: bytes) -> bytes:
-    """Send ``raw`` on a connection of its own; what came back, if anything."""
+    """Send ``raw`` on a new connection and return the answer, or nothing."""
     host, port = fleet.gateways[0].settings.front_address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -52,22 +52,22 @@
         + _HEAD
         + b"\r\n\r\nzz\r\n",
     )
-    def test_an_entry_goes_on_whatever_it_is_sent(self, raw: bytes) -> None:
-        """A header on which an entry ends would end entry after entry."""
-        asyncio.run(self._goes_on([raw] * ROUNDS))
+    def test_entry_survives_malformed_requests(self, raw: bytes) -> None:
+        """Guards against a header that crashes one entry after another."""
+        asyncio.run(self._assert_survives([raw] * ROUNDS))
 
-    def test_an_entry_goes_on_after_random_bytes_in_good_requests(self) -> None:
+    def test_entry_survives_random_bytes_in_valid_requests(self) -> None:
         rng = random.Random(7)
-        good = b"POST /plain/x HTTP/1.1\r\n" + _HEAD + _END
+        valid = b"POST /plain/x HTTP/1.1\r\n" + _HEAD + _END
         requests = []
         for _ in range(RANDOM_REQUESTS):
-            raw = bytearray(good)
+            raw = bytearray(valid)
             for _ in range(rng.randint(1, 4)):
                 raw[rng.randrange(len(raw))] = rng.randrange(256)
             requests.append(bytes(raw))
-        asyncio.run(self._goes_on(requests))
+        asyncio.run(self._assert_survives(requests))
 
-    async def _goes_on(self, requests: list[bytes]) -> None:
+    async def _assert_survives(self, requests: list[bytes]) -> None:
         async with Fleet(Endpoint("i-1", _good)) as fleet:
             await asyncio.gather(*(_send(fleet, raw) for raw in requests))
             self.assertFalse(fleet.ended())
