--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -1,6 +1,6 @@
-"""Topics that are written faster than an entry's link carries them.
+"""Tests with topics that are written faster than an entry's link can transfer.
 
-Every entry reads every topic. The slowest links carry 5 Mbit/s, a configuration has
+Every entry reads every topic. The slowest links have 5 Mbit/s, a configuration has
 50 to 350 KB, and eighty entries write rows of a kilobyte.
 """
 
@@ -26,23 +26,23 @@
 from tests.keyed_log import KeyedLog
 
 LINK_BYTES_PER_S = 5e6 / 8
-"""The slowest link of the fleets that the users run."""
+"""Bandwidth of the slowest link in production."""
 IN_FORCE_S = 3.0
-"""A change is in force this long after the operator's confirmation."""
+"""Longest time from the confirmation of a change to its effect."""
 LEAVING_KNOWN_S = 2.0
-"""An endpoint that said that it leaves gets nothing this long after."""
+"""Time after an endpoint begins to drain from which it gets no requests."""
 CAUGHT_UP_S = 6.0
-"""An entry that is back in touch knows what the others know this much later."""
+"""Time for an entry to catch up after a network partition."""
 LEAVING_KNOWN_S = 2.0
-"""An endpoint that said that it leaves gets nothing this long after."""
+"""Time after an endpoint begins to drain from which it gets no requests."""
 CAUGHT_UP_S = 6.0
-"""An entry that is back in touch knows what the others know this much later."""
+"""Time for an entry to catch up after a network partition."""
 IDLE_ROUTES = 1_640
-"""Routes beside the ones in use: a configuration that grew by 1,400."""
+"""Routes that no request uses, in a configuration that grew by 1,400 routes."""
 
 
 def _row(i: int) -> bytes:
-    """The row of an entry with 24 accounts."""
+    """Return the row of an entry with claims on 24 accounts."""
     shares = {AccountId(f"account-{n}"): Row(100_000 + i, 9, 9, 9) for n in range(24)}
     address = "10.1.0.40:8227"
     serving = MemberState.SERVING
@@ -54,21 +54,16 @@
     return web.Response(headers={**SEAL, "X-Attempt-Id": "r1"})
 
 
-class BackAfterACutTest(unittest.IsolatedAsyncioTestCase):
-    """Entries that had been kept from the store answered 404 for a route that was in
-    force everywhere else. They could read again from 26.0 s on, and were still 5 s
-    behind at 31.2 s: they read all 28 versions of the configuration that were written
-    meanwhile, 50 KB each, five at a time in answers of 300 KB, beside a megabyte of
-    the other entries' rows, over a link of 5 Mbit/s. Only the last of them counted.
+class ConfigAfterPartitionTest(unittest.IsolatedAsyncioTestCase):
+    """Guards against 404 for a route that is in force on all other entries.
 
-        26.258 s  version 119 confirmed
-        26.733 s  config_applied version=38   26.785 s  config_applied version=53
-        27.676 s  config_applied version=55   27.735 s  config_applied version=67
-        29.402 s  config_applied version=83   29.457 s  config_applied version=95
-        29.723 s  refused reason=no_route     30.746 s  config_applied version=119
+    After a partition from the store an entry read all 28 configuration versions written
+    meanwhile, although only the last one counts: 50 KB each, five at a time in answers
+    of 300 KB, beside a megabyte of other entries' rows, over a link of 5 Mbit/s. It was
+    still 5 s behind 5 s after the partition had ended.
     """
 
-    async def test_the_newest_version_is_soon_in_force(self):
+    async def test_newest_version_is_applied_in_time(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             fleet.log.link.bytes_per_s = LINK_BYTES_PER_S
             fleet.log.down = True
@@ -84,12 +79,14 @@
 
 
 class ConfigStormTest(unittest.IsolatedAsyncioTestCase):
-    """Versions of 350 KB, one each 0.23 s, came into force 0.7 s late at first and 5 s
-    late after four seconds, and ever later: a link of 5 Mbit/s takes 0.56 s for each,
-    and each was read, though the next one was written before it had arrived.
+    """Guards against a growing delay of configuration changes.
+
+    A version of 350 KB is written every 0.23 s, and a link of 5 Mbit/s needs 0.56 s to
+    transfer one. When every version was read, although a newer one was written before
+    it had arrived, the delay grew from 0.7 s to 5 s within four seconds.
     """
 
-    async def test_each_version_is_in_force_in_time(self):
+    async def test_each_version_is_applied_in_time(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway = fleet.gateways[0]
             fleet.log.link.bytes_per_s = LINK_BYTES_PER_S
@@ -120,11 +117,12 @@
 
 
 class LargeConfigAtStartTest(unittest.IsolatedAsyncioTestCase):
-    async def test_an_entry_starts_with_it(self):
-        """An entry that started anew beside a large configuration on a slow link would
-        have refused every request, for good. The newest of the configuration is 470 KB
-        as the store encodes it and takes 0.75 s; the call was given up after 0.7 s,
-        though its answer was arriving, and made again.
+    async def test_entry_starts_with_a_large_configuration(self):
+        """Guards against an entry that refuses every request after a restart.
+
+        The store encodes the newest configuration as 470 KB, which takes 0.75 s on a
+        slow link. The call was aborted after 0.7 s while its answer was arriving, and
+        repeated forever.
         """
         async with Fleet(
             Endpoint("a", _answer),
@@ -137,14 +135,14 @@
 
 
 class RowsBehindTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_was_superseded_is_not_read(self):
-        """Entries that had been cut off knew the others' claims 10 s late, refused what
-        was paid for meanwhile, and their other reads crawled on the same link. While
-        accounts run dry 64 entries write up to 400 rows a second, 4 MB in a cut of 8 s,
-        of which the last 64 rows count, 80 KB. A link of 5 Mbit/s takes 6.4 s for them
-        all, and needs four fifths of its time for the rows that follow.
-
-            33.266 s  refused reason=tokens_elsewhere rows_age_ms=10290
+    async def test_superseded_rows_are_not_read(self):
+        """Guards against refusals of paid requests after a partition has ended.
+
+        While accounts run out of tokens, 64 entries write up to 400 rows a second,
+        which is 4 MB in a partition of 8 s, and only the last 64 rows (80 KB) count. A
+        link of 5 Mbit/s needs 6.4 s to transfer all of them and four fifths of its
+        bandwidth for the rows that follow. Entries that read them all knew other
+        entries' claims 10 s late, and their other reads on the same link were delayed.
         """
         log = KeyedLog()
         log.link.bytes_per_s = LINK_BYTES_PER_S
@@ -170,16 +168,18 @@
             await tail.poll()
             write(20)
             self.assertLess(time.monotonic() - cut_ended_s, CAUGHT_UP_S)
-        # The read that finds the backlog, and twice the newest row of each.
+        # Allowed are the read that detects the backlog and twice the newest rows.
         newest = 64 * 1_250 * 4 / 3
         self.assertLess(log.link.carried_bytes - carried, 2 * newest + 150_000)
 
 
 class OtherKeyTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_skipped_record_may_be_the_newest_of_its_key(self):
-        """Of a topic with one key only the last record is read. If another key comes
-        to it, what was skipped may hold the newest record of the first, which nobody
-        would ever read."""
+    async def test_newest_record_of_a_key_is_read_although_another_key_follows(self):
+        """Guards against a newest record that is never read.
+
+        Only the last record of a topic with one key is read. If a record with another
+        key follows, the skipped records may include the newest one of the first key.
+        """
         for only_key in (None, "config"):
             with self.subTest(only_key=only_key):
                 await self._assert_read(only_key)
@@ -187,10 +187,10 @@
     async def _assert_read(self, only_key):
         log = KeyedLog()
         client = await client_of(self, log)
-        taken = {}
+        received = {}
 
         def apply(record):
-            taken[record.key] = record.value
+            received[record.key] = record.value
 
         tail = KeyedTail(client, "keyed.one", apply, only_key=only_key)
         log.put("keyed.one", "config", b"1")
@@ -199,17 +199,20 @@
         log.put("keyed.one", "config", b"3")
         log.put("keyed.one", "other", b"x")
         await tail.poll()
-        self.assertEqual(taken, {"config": b"3", "other": b"x"})
+        self.assertEqual(received, {"config": b"3", "other": b"x"})
 
-    async def test_keys_that_join_the_first_are_read(self):
-        """An entry that starts first and reads right after each row of its own never
-        reads the others' rows, and takes their tokens for free."""
+    async def test_keys_added_after_the_first_are_read(self):
+        """Guards against tokens that are regarded as free although others claim them.
+
+        An entry that starts first and reads right after each of its own rows never read
+        the rows of the other entries.
+        """
         log = KeyedLog()
         client = await client_of(self, log)
-        taken = {}
+        received = {}
 
         def apply(record):
-            taken[record.key] = record.value
+            received[record.key] = record.value
 
         tail = KeyedTail(client, "keyed.rows", apply)
         log.put("keyed.rows", "first", b"0")
@@ -219,50 +222,46 @@
             log.put("keyed.rows", "third", b"%d" % i)
             log.put("keyed.rows", "first", b"%d" % i)
             await tail.poll()
-        self.assertEqual(taken, {"first": b"2", "second": b"2", "third": b"2"})
+        self.assertEqual(received, {"first": b"2", "second": b"2", "third": b"2"})
 
 
-class OldViewTest(unittest.IsolatedAsyncioTestCase):
-    """Callers were told 404 and 401, which are final, by entries that had not heard of
-    the configuration for seconds: a route or key had been added meanwhile. What an
-    entry did not know it denied, however old its view was.
+class StaleConfigTest(unittest.IsolatedAsyncioTestCase):
+    """Guards against the final refusals 404 and 401 by an entry with a stale
+    configuration.
 
-        20.770 s  refused reason=no_route rows_age_ms=3361 config_version=34
-        23.082 s  refused reason=no_route rows_age_ms=5672 config_version=34
+    A route or key is added while an entry has not read the configuration for 3 to 6 s.
+    The entry denied whatever it did not know, however old its configuration was.
     """
 
-    async def test_it_denies_nothing(self):
+    async def test_unknown_route_or_key_is_refused_with_a_retry(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
-            await self._assert_told(fleet, 404, 401)
+            await self._assert_statuses(fleet, 404, 401)
             fleet.log.down = True
             await asyncio.sleep(IN_FORCE_S)
-            await self._assert_told(fleet, 503, 503)
+            await self._assert_statuses(fleet, 503, 503)
             status, headers, _ = await fleet.ask("/added/x")
             self.assertIn("Retry-After", headers)
-            # What it knows it serves on.
+            # Known routes are still served.
             status, _, _ = await fleet.ask("/plain/x")
             self.assertEqual(status, 200)
             fleet.log.down = False
             await asyncio.sleep(RETRY_MAX_S + 0.2)
-            await self._assert_told(fleet, 404, 401)
+            await self._assert_statuses(fleet, 404, 401)
 
-    async def _assert_told(self, fleet, no_route, no_key):
+    async def _assert_statuses(self, fleet, no_route, no_key):
         status, _, _ = await fleet.ask("/added/x")
         self.assertEqual(status, no_route)
         status, _, _ = await fleet.ask("/plain/x", Authorization="Bearer added")
         self.assertEqual(status, no_key)
 
 
-class LateRegistrationsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_an_endpoint_that_left_gets_nothing(self):
-        """A request reached an endpoint 4.5 s after it had said that it leaves. It came
-        through an entry whose link was full: the largest account's callers keep to it,
-        and the configuration changed four times a second. Its reads of the
-        registrations were answered, seconds late, and the endpoint looked ready.
+class StaleRegistrationsTest(unittest.IsolatedAsyncioTestCase):
+    async def test_draining_endpoint_gets_no_requests_over_a_full_link(self):
+        """Guards against requests to an endpoint 4.5 s after it began to drain.
 
-            26.010 s  the endpoint's leaving is confirmed
-            28.413 s  the request is sent to the entry
-            30.469 s  it reaches the endpoint
+        The link of an entry is full: the callers of the largest account use this entry,
+        and the configuration changes four times a second. Its reads of the
+        registrations are answered seconds late, so the endpoint still looks ready.
         """
         served_s = []
 
@@ -287,17 +286,14 @@
         self.assertEqual(statuses, {200, 503})
         self.assertLess(max(served_s) - left_s, LEAVING_KNOWN_S + 0.1)
 
-    async def test_the_way_to_the_endpoint_counts(self):
-        """Symptom: a request reached an endpoint 3.7 s after its leaving was confirmed,
-        where 3 s are allowed.
-        Sequence: the entry's link is full; what it knows of endpoints is 2 to 3 s old,
-        so that it sends; the request waits over a second behind others for the link.
-        Cause: what is known was held against the limit as of the choice, not as of the
-        arrival.
-
-            29.766 s  the endpoint's leaving is confirmed
-            31.764 s  the request is sent to the entry
-            33.438 s  it reaches the endpoint
+    async def test_transfer_time_counts_towards_the_age_of_registrations(self):
+        """Guards against requests to an endpoint 3.7 s after the confirmation that it
+        drains, where 3 s are allowed.
+
+        The entry's link is full and its registrations are 2 to 3 s old, so it sends the
+        request, which then waits over a second for the link. The age of the
+        registrations was compared with the limit at the choice of the endpoint, not at
+        the arrival of the request.
         """
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway = fleet.gateways[0]
@@ -313,7 +309,7 @@
                 gateway.endpoints_reachable = True
                 self.assertIs(gateway.endpoints_late(known_at_s + age_s), late)
 
-    async def test_a_read_tells_how_long_the_link_takes(self):
+    async def test_read_of_registrations_measures_the_transfer_time(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway = fleet.gateways[0]
             self.assertLess(gateway.endpoints_took_s, 0.3)
