--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -1,6 +1,6 @@
 """Quarantine of requests that may crash endpoints.
 
-A suspect is sent, tried in isolation by one entry at a time, or refused.
+A suspect is sent, sent as a half-open probe by one entry at a time, or refused.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 _log = logging.getLogger(__name__)
 
 TYPICAL_PROBE_S = 1.0
-"""``Retry-After`` while a request is on trial: most trials have ended by then."""
+"""``Retry-After`` during a half-open probe: most probes have ended by then."""
 OPERATOR_LIFT_RETRY_AFTER_S = 3_600.0
 """``Retry-After`` if only an operator can lift the quarantine, who may do so
 meanwhile."""
 
 
 def suspect_state_of(gateway: Gateway, exchange: Exchange, now_s: float) -> Standing:
-    """Return the current standing of a request."""
+    """Return how suspect a request is now."""
     book = gateway.suspects.tracker
     if not book or not book.watches(exchange.place):
         return Standing.CLEAR
@@ -64,7 +64,7 @@
     """Choose an endpoint for a request.
 
     While other endpoints have room, no two suspects share an endpoint, and no request
-    shares one with a request on trial.
+    shares one with a half-open probe.
     """
     avoided = _endpoints_to_avoid(gateway, standing, now_s)
     chosen = _choose(gateway, exchange, [*exchange.tried, *avoided], now_s)
@@ -99,11 +99,11 @@
 
 
 async def begin_probe(gateway: Gateway, exchange: Exchange, endpoint: Endpoint) -> bool:
-    """Begin an isolated trial of a request.
+    """Begin a half-open probe: one entry sends the request, and no other does.
 
     The other entries are notified before the request is sent.
 
-    :return: whether this entry may run the trial.
+    :return: whether this entry may send the probe.
     """
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
@@ -124,15 +124,15 @@
 
 
 def cancel_probe(gateway: Gateway, exchange: Exchange) -> None:
-    """End an inconclusive trial, so that another may begin."""
+    """End an inconclusive probe, so that another may begin."""
     keeper = gateway.suspects
     keeper.publish(keeper.tracker.release(exchange.fingerprint))
 
 
 def cancel_probe_later(gateway: Gateway, exchange: Exchange) -> None:
-    """End an interrupted trial once it is known whether the endpoint crashed.
+    """End an interrupted probe once it is known whether the endpoint crashed.
 
-    A crash that is found meanwhile ends the trial itself.
+    A crash that is detected meanwhile ends the probe itself.
     """
     loop = asyncio.get_running_loop()
     loop.call_later(ENDING_KNOWN_S, cancel_probe, gateway, exchange)
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -1,8 +1,8 @@
 """Replication of suspected poison requests among all entries.
 
-Each finding of this entry is published twice: at once in a note, which may be lost, and
-in this entry's record on the log, which outlives the entry and is read by entries that
-start or reconnect. An entry without findings has no record.
+Each finding of this entry is published twice: at once in a peer message, which may be
+lost, and in this entry's record on the log, which outlives the entry and is read by
+entries that start or reconnect. An entry without findings has no record.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 READ_PAUSE_S = 0.02
 """Pause between two reads, so that records written together are read together."""
 PUBLISH_TIMEOUT_S = 0.5
-"""Longest wait until a trial is on the log, where the other entries can read it. A slow
+"""Longest wait until a probe is on the log, where the other entries can read it. A slow
 store answers in less."""
 WRITE_PAUSE_S = 0.1
 """Shortest time between two records of this entry."""
@@ -52,7 +52,7 @@
     """Writes this entry's record of suspects and reads the records of other entries.
 
     :param boot_id: identifies this run of the process as a writer.
-    :param broadcast: sends a note to the other entries.
+    :param broadcast: sends a peer message to the other entries.
     :param on_change: called after findings of another entry are merged.
     """
 
@@ -93,26 +93,26 @@
             tasks.create_task(self._write_changes())
 
     def publish(self, findings: Findings) -> None:
-        """Send findings to the other entries in a note and through the log."""
+        """Send findings to the other entries in a peer message and through the log."""
         if findings.empty:
             return
         self._broadcast(findings)
         self._schedule_write()
 
     def receive(self, findings: Findings) -> None:
-        """Merge the findings in a note of another entry."""
+        """Merge the findings in a peer message of another entry."""
         self.tracker.heard(findings, False, time.monotonic())
         self._on_change(findings)
 
     async def begin_probe(self, trial: Trial, others: Sequence[EntryId]) -> bool:
-        """Begin an isolated trial of a request.
+        """Begin a half-open probe: one entry sends the request, and no other does.
 
-        While the log accepts no records, some entries may not learn of the trial. Then
-        only the entry that comes first in rendezvous order among the live ones may run
+        While the log accepts no records, some entries may not learn of the probe. Then
+        only the entry that comes first in rendezvous order among the live ones may send
         it.
 
         :param others: the other live entries.
-        :return: whether this entry may run the trial.
+        :return: whether this entry may send the probe.
         """
         findings = self.tracker.claim(trial, time.monotonic())
         if findings is None:
@@ -233,7 +233,7 @@
         """Write this entry's record again if the log holds another version of it.
 
         This happens when an earlier append takes effect late, or when the log was
-        restored from an older copy.
+        restored from an older backup.
         """
         if value != self._logged_value:
             self._logged_value = value
