--- a/tests/gateway_processes.py
+++ b/tests/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateways as processes of their own, as the platform starts and stops them."""
+"""Gateways in separate processes, started and stopped as on the platform."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 
 def loopback_ip(i: int) -> str:
-    """The address of the gateway ``i`` of this test run, which others do not use."""
+    """Return the address of gateway ``i``, which no concurrent test run uses."""
     high, low = divmod(os.getpid(), 250)
     return f"127.{1 + high % 250}.{1 + low}.{i}"
 
@@ -27,9 +27,9 @@
 def settings_text(
     i: int, store_address: str, grace_s: float = 8.0, link_mbps: float = 0.0
 ) -> str:
-    """The settings file of the gateway ``i``.
+    """Return the settings file of gateway ``i``.
 
-    Each has an address of its own, since the port of the metrics is the same for all.
+    Each gateway has its own IP address, since all use the same port for metrics.
     """
     ip = loopback_ip(i)
     return f"""
@@ -51,9 +51,9 @@
 
 
 class GatewayProcess:
-    """One gateway; ended by its process id, whatever becomes of the test.
+    """One gateway process, killed by its process id when the context ends.
 
-    :param i: which one, from 1.
+    :param i: number of the gateway, from 1.
     """
 
     def __init__(self, i: int, store_address: str, grace_s: float = 8.0) -> None:
@@ -74,16 +74,16 @@
         self._folder.cleanup()
 
     async def start(self) -> None:
-        """Start it and wait until it is ready."""
+        """Start the process and wait until it is ready."""
         await self.spawn()
-        ends_s = time.monotonic() + READY_WITHIN_S
-        while not await self._ready():
-            if time.monotonic() > ends_s:
+        timeout_at_s = time.monotonic() + READY_WITHIN_S
+        while not await self._is_ready():
+            if time.monotonic() > timeout_at_s:
                 raise AssertionError(self.log_path.read_text()[-2_000:])
             await asyncio.sleep(0.05)
 
     async def spawn(self) -> None:
-        """Start it."""
+        """Start the process without waiting until it is ready."""
         with self.log_path.open("ab") as out:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -95,7 +95,7 @@
                 stderr=out,
             )
 
-    async def _ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
             async with aiohttp.ClientSession() as http:
                 async with http.get(f"http://{self.ip}:8220/ready") as answer:
@@ -104,14 +104,15 @@
             return False
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         assert self._process is not None
-        # The library's own way takes an exit status that the event loop waits for.
+        # asyncio's send_signal polls the process and so takes the exit status that the
+        # event loop waits for.
         if self._process.returncode is None:
             os.kill(self._process.pid, number)
 
     async def wait_for_exit(self, within_s: float) -> int | None:
-        """Its exit status, or ``None`` if it still runs after ``within_s``."""
+        """Return the exit status, or ``None`` if there is none after ``within_s``."""
         assert self._process is not None
         try:
             return await asyncio.wait_for(self._process.wait(), within_s)
@@ -119,28 +120,29 @@
             return None
 
     async def kill(self) -> None:
-        """End it at once if it runs."""
+        """Kill the process if it runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
 
     def log_records(self, event: str) -> list[dict[str, object]]:
-        """What it logged of one event."""
+        """Return the log records of one event."""
         lines = self.log_path.read_text().splitlines()
         found = [json.loads(line) for line in lines if line.startswith("{")]
         return [line for line in found if line.get("message") == event]
 
     async def metrics(self) -> str:
-        """Its metrics as text."""
+        """Return the metrics as text."""
         async with aiohttp.ClientSession() as http:
             url = f"http://{self.ip}:{METRICS_PORT}/metrics"
             async with http.get(url) as answer:
                 return await answer.text()
 
-    async def until(self, holds: Callable[[], bool], within_s: float) -> None:
-        """Wait for a condition on its log."""
-        ends_s = time.monotonic() + within_s
-        while not holds():
-            if time.monotonic() > ends_s:
+    async def until(self, condition: Callable[[], bool], within_s: float) -> None:
+        """Wait until ``condition`` holds; fail with the end of the log after
+        ``within_s``."""
+        timeout_at_s = time.monotonic() + within_s
+        while not condition():
+            if time.monotonic() > timeout_at_s:
                 raise AssertionError(self.log_path.read_text()[-2_000:])
             await asyncio.sleep(0.02)
--- a/tests/test_own_end.py
+++ b/tests/test_own_end.py
@@ -31,7 +31,7 @@
                 producers[name] = (epoch + 1, number)
             self.assertEqual(await site.gateway.wait_for_exit(3.0), 1)
             outcomes = await asyncio.gather(*asking)
-            got = [(outcome.status, outcome.whole) for outcome in outcomes]
+            got = [(outcome.status, outcome.complete) for outcome in outcomes]
             self.assertEqual(got, [(status, whole)] * 4)
 
 
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,5 +1,7 @@
-"""Planned stops of real processes: nothing is cut that was taken late, and each stop
-ends by itself."""
+"""Tests of planned stops of real processes.
+
+No request admitted during a stop is aborted, and each process exits on its own.
+"""
 
 import asyncio
 import contextlib
@@ -32,7 +34,8 @@
 GRACE_S = 8.0
 T = AccountId("t")
 LATE_S = 3.2
-"""After the signal; callers that keep an address answer long come so late."""
+"""Time after the signal at which callers that cache an address answer for long may
+still send requests."""
 HEADERS = {
     "Host": HOST,
     "X-Attempt-Id": "r1",
@@ -46,7 +49,7 @@
 
 
 async def _long_stream(request: web.BaseRequest) -> web.StreamResponse:
-    """An event each 0.1 s, for longer than any grace time."""
+    """Send an event every 0.1 s for longer than any grace time."""
     response = web.StreamResponse(headers=_echo(request))
     response.enable_chunked_encoding()
     await response.prepare(request)
@@ -71,19 +74,19 @@
 
 
 class Outcome:
-    """What a caller saw of one request."""
+    """The answer to one request as the caller received it."""
 
     def __init__(self) -> None:
         self.status: int | None = None
         self.retry_after: str | None = None
         self.body = b""
-        self.whole = False
+        self.complete = False
 
 
 class Site:
-    """A gateway process between a stand-in log and one scripted endpoint.
+    """A gateway process with a stand-in log and one scripted endpoint.
 
-    :param grace_s: how long after SIGTERM it would be killed.
+    :param grace_s: time from SIGTERM to SIGKILL of the process.
     """
 
     def __init__(self, script: Script, grace_s: float = GRACE_S) -> None:
@@ -116,7 +119,7 @@
         pause_s: float = 0.0,
         request_id: str = "r1",
     ) -> Outcome:
-        """Ask once, reading the answer a piece at a time."""
+        """Send one request and read the answer in pieces, with a pause after each."""
         outcome = Outcome()
         headers = {**HEADERS, "X-Attempt-Id": request_id}
         url = f"http://{self.gateway.front_address}{path}"
@@ -127,11 +130,11 @@
                 while piece := await answer.content.read(pace_bytes):
                     outcome.body += piece
                     await asyncio.sleep(pause_s)
-                outcome.whole = True
+                outcome.complete = True
         return outcome
 
-    async def ask_and_not_read(self, path: str) -> Outcome:
-        """Ask once and leave the answer on its way."""
+    async def ask_without_reading(self, path: str) -> Outcome:
+        """Send one request and leave the answer unread."""
         host, port = self.gateway.front_address.split(":")
         _, writer = await asyncio.open_connection(host, int(port), limit=1)
         head = "".join(f"{name}: {value}\r\n" for name, value in HEADERS.items())
@@ -142,14 +145,14 @@
         writer.close()
         return Outcome()
 
-    async def until_asked(self) -> None:
+    async def until_request_arrives(self) -> None:
         """Wait until a request has reached the endpoint."""
         await self.gateway.until(lambda: bool(self.endpoint.seen), 3.0)
 
 
-class TimesTest(unittest.TestCase):
+class StopTimesTest(unittest.TestCase):
     @params(
-        # seconds after the signal, longest, likely, a stream, taken
+        # seconds after the signal, longest and likely duration, is a stream, admitted
         (0.0, 7.1, 99.0, True, True),
         (0.0, 15.0, 7.1, True, True),
         (0.0, 15.0, 7.3, True, False),
@@ -162,17 +165,18 @@
         (3.1, 4.5, 4.2, False, False),
         (7.3, 0.1, 0.1, False, False),
     )
-    def test_only_what_ends_in_time_is_taken(
-        self, after_s, most_s, likely_s, stream, taken
+    def test_only_requests_that_end_in_time_are_admitted(
+        self, after_s, most_s, likely_s, stream, admitted
     ):
-        """Guards against requests that a stop takes and cannot end."""
+        """Guards against requests that are admitted during a stop and cannot end in
+        time."""
         stop = PlannedStop(began_s=100.0, grace_s=8.0)
         lasting = Lasting(most_s, likely_s, stream)
-        self.assertIs(stop.takes(lasting, 100.0 + after_s), taken)
+        self.assertIs(stop.takes(lasting, 100.0 + after_s), admitted)
 
     @params((1.0,), (2.0,), (8.0,), (30.0,), (300.0,))
-    def test_each_part_fits_the_grace_time(self, grace_s):
-        """Guards against a stop whose parts add up to more than its grace time."""
+    def test_stages_fit_the_grace_time(self, grace_s):
+        """Guards against stages of a stop that add up to more than the grace time."""
         stop = PlannedStop(began_s=100.0, grace_s=grace_s)
         ends_s = 100.0 + grace_s
         self.assertLess(stop.serves_until_s, stop.answers_end_s)
@@ -181,13 +185,13 @@
         self.assertLess(stop.closes_s + stop.closing_s, ends_s)
 
     @params((0, math.inf), (2, math.inf), (3, 2.0), (20, 18.0), (50, 47.0), (60, 57.0))
-    def test_what_nearly_all_ended_within_is_likely(self, ended, likely_s):
+    def test_likely_duration_covers_nearly_all_past_requests(self, ended, likely_s):
         durations = Durations()
         for i in range(ended):
             durations.add("route", float(i))
         self.assertEqual(durations.likely_s("route"), likely_s)
 
-    def test_what_took_long_is_forgotten(self):
+    def test_old_durations_are_discarded(self):
         durations = Durations()
         durations.add("route", 99.0)
         for _ in range(KEPT):
@@ -197,104 +201,113 @@
 
 class PlannedStopTest(unittest.TestCase):
     @params(("/stream/x",), ("/resume/x",))
-    def test_a_stream_that_may_outlast_the_stop_is_not_taken_late(self, path):
-        """Guards against a stream taken long after SIGTERM and given up half-way."""
-        asyncio.run(self._taken_late(path))
+    def test_late_stream_that_may_outlast_the_stop_is_refused(self, path):
+        """Guards against a stream that is admitted long after SIGTERM and aborted."""
+        asyncio.run(self._assert_late_stream_refused(path))
 
-    async def _taken_late(self, path: str) -> None:
+    async def _assert_late_stream_refused(self, path: str) -> None:
         async with Site(_long_stream) as site:
             site.gateway.signal(signal.SIGTERM)
             await asyncio.sleep(LATE_S)
             try:
                 outcome = await asyncio.wait_for(site.ask(path), 1.0)
             except TimeoutError:
-                self.fail("it was taken")
-            self.assertEqual((outcome.status, outcome.whole), (503, True))
+                self.fail("the stream was admitted")
+            self.assertEqual((outcome.status, outcome.complete), (503, True))
             self.assertEqual(float(outcome.retry_after or "nan"), 0.0)
             self.assertEqual(len(site.endpoint.seen), 0)
 
     @params(
-        # what still runs when the stop's time is over, the answer's status
+        # script that outlasts the stop, path, status of the answer
         (_long_stream, "/stream/x", 200),
         (_slow_answer, "/once/x", 504),
     )
-    def test_a_stop_ends_by_itself_beside_a_request(self, script, path, status):
-        """Guards against stops that are killed at the end of their grace time."""
-        asyncio.run(self._ends_beside(script, path, status))
+    def test_process_exits_in_time_with_a_request_in_progress(
+        self, script, path, status
+    ):
+        """Guards against processes that are killed at the end of the grace time."""
+        asyncio.run(self._assert_exits_in_time(script, path, status))
 
-    async def _ends_beside(self, script: Script, path: str, status: int) -> None:
+    async def _assert_exits_in_time(
+        self, script: Script, path: str, status: int
+    ) -> None:
         async with Site(script) as site:
             asking = asyncio.create_task(site.ask(path))
-            await site.until_asked()
-            took_s = await self._stops(site)
-            # What is in progress is given its time first.
+            await site.until_request_arrives()
+            took_s = await self._stop_gateway(site)
+            # The request in progress first gets the time that the stop allows.
             self.assertGreater(took_s, GRACE_S * 5 / 6)
             outcome = await asking
             self.assertEqual(outcome.status, status)
-            # A begun answer must not look whole; another says what is not known.
-            self.assertEqual(outcome.whole, status == 504)
+            # A stream that has begun must be seen as incomplete; any other request
+            # gets a complete answer that says that it may have run.
+            self.assertEqual(outcome.complete, status == 504)
 
-    def test_a_caller_that_does_not_read_does_not_delay_the_exit(self):
-        """Guards against a stop that waits for a caller's full link."""
-        asyncio.run(self._unread())
+    def test_caller_that_does_not_read_does_not_delay_the_exit(self):
+        """Guards against a stop that waits for a caller with a full receive buffer."""
+        asyncio.run(self._assert_unread_answer_is_left())
 
-    async def _unread(self) -> None:
+    async def _assert_unread_answer_is_left(self) -> None:
         async with Site(_large_answer) as site:
-            asking = asyncio.create_task(site.ask_and_not_read("/plain/x"))
-            await site.until_asked()
-            await self._stops(site)
+            asking = asyncio.create_task(site.ask_without_reading("/plain/x"))
+            await site.until_request_arrives()
+            await self._stop_gateway(site)
             asking.cancel()
 
-    def test_an_answer_on_its_way_is_whole_before_the_exit(self):
-        """Guards against an answer's last bytes lost with the process."""
-        asyncio.run(self._on_its_way())
+    def test_answer_in_flight_is_sent_completely_before_the_exit(self):
+        """Guards against the loss of an answer's last bytes when the process exits."""
+        asyncio.run(self._assert_answer_completed())
 
-    async def _on_its_way(self) -> None:
+    async def _assert_answer_completed(self) -> None:
         async with Site(_large_answer) as site:
-            # 8 MB within 5 s.
+            # The caller reads 8 MB in 5 s.
             asking = asyncio.create_task(site.ask("/plain/x", 80_000, 0.05))
-            await site.until_asked()
-            await self._stops(site)
+            await site.until_request_arrives()
+            await self._stop_gateway(site)
             outcome = await asking
-            self.assertEqual((outcome.whole, len(outcome.body)), (True, 8_000_000))
+            self.assertEqual((outcome.complete, len(outcome.body)), (True, 8_000_000))
 
-    def test_what_comes_as_it_ends_is_refused_or_answered(self):
-        """Guards against requests that are taken while the listeners close."""
-        asyncio.run(self._until_the_end())
+    def test_requests_until_the_exit_are_refused_or_answered(self):
+        """Guards against requests that are admitted while the listeners close and get
+        no answer."""
+        asyncio.run(self._assert_answered_until_exit())
 
-    async def _until_the_end(self) -> None:
+    async def _assert_answered_until_exit(self) -> None:
         async with Site(_short_answer) as site:
             for i in range(FEWEST):
                 await site.ask("/once/x", request_id=f"before-{i}")
             site.gateway.signal(signal.SIGTERM)
             asked: dict[str, asyncio.Task[Outcome]] = {}
-            # One at a time, with moments at which none is in progress.
+            # Requests are sequential, with gaps in which none is in progress.
             while await site.gateway.wait_for_exit(0.45) is None:
                 name = f"r{len(asked)}"
                 task = asyncio.create_task(site.ask("/once/x", request_id=name))
                 asked[name] = task
             outcomes = {name: await task for name, task in asked.items()}
         ran = {request.headers["X-Attempt-Id"] for request in site.endpoint.seen}
-        unanswered = {name for name, outcome in outcomes.items() if not outcome.whole}
+        unanswered = {
+            name for name, outcome in outcomes.items() if not outcome.complete
+        }
         self.assertEqual(ran & unanswered, set())
 
-    def test_a_silent_store_does_not_delay_the_exit(self):
-        """Guards against a stop that waits for a store that answers nothing."""
-        asyncio.run(self._silent_store())
+    def test_unresponsive_store_does_not_delay_the_exit(self):
+        """Guards against a stop that waits for a store that does not answer."""
+        asyncio.run(self._assert_exits_without_store())
 
-    async def _silent_store(self) -> None:
+    async def _assert_exits_without_store(self) -> None:
         async with Site(_slow_answer) as site:
             site.log.silent = True
             asking = asyncio.create_task(site.ask("/plain/x"))
-            await site.until_asked()
-            await self._stops(site)
+            await site.until_request_arrives()
+            await self._stop_gateway(site)
             await asking
 
-    def test_callers_are_not_sent_to_it_while_the_store_is_away(self):
-        """Guards against a planned stop that the others learn of from the log alone."""
-        asyncio.run(self._told_directly())
+    def test_other_entries_learn_of_a_stop_while_the_store_is_unreachable(self):
+        """Guards against a planned stop that other entries learn of through the log
+        only."""
+        asyncio.run(self._assert_notified_directly())
 
-    async def _told_directly(self) -> None:
+    async def _assert_notified_directly(self) -> None:
         good = Endpoint("i-1", _large_answer)
         async with Fleet(good, gateways=2) as fleet:
             views = [gateway.keeper.members for gateway in fleet.gateways]
@@ -304,23 +317,23 @@
             fleet.servers[0].stop()
             await fleet.until(lambda: not views[1].live(1e9), 0.3)
 
-    def test_the_last_row_gives_the_unspent_tokens_back(self):
-        """Guards against tokens that count as spent since a stop wrote no last row."""
-        asyncio.run(self._gives_back())
+    def test_last_row_returns_the_unspent_tokens(self):
+        """Guards against tokens that count as spent if a stop writes no last row."""
+        asyncio.run(self._assert_tokens_returned())
 
-    async def _gives_back(self) -> None:
+    async def _assert_tokens_returned(self) -> None:
         async with Fleet(Endpoint("i-1", _short_answer), gateways=4) as fleet:
             await asyncio.sleep(1.0)
             for server in fleet.servers:
                 server.stop()
-                # Each in another moment between two of its rows.
+                # Each entry stops at a different phase of its row interval.
                 await asyncio.sleep(0.07)
             await fleet.until(fleet.ended)
             rows = [fleet.newest_row(f"e{i}") for i in range(4)]
         self.assertEqual([row.shares[T].claimed_tokens for row in rows], [0] * 4)
 
-    async def _stops(self, site: Site) -> float:
-        """Stop the gateway; how long it took to end by itself."""
+    async def _stop_gateway(self, site: Site) -> float:
+        """Send SIGTERM to the gateway, wait for its exit and return the time taken."""
         began_s = time.monotonic()
         site.gateway.signal(signal.SIGTERM)
         status = await site.gateway.wait_for_exit(GRACE_S)
--- a/tests/test_planned_stop_review.py
+++ b/tests/test_planned_stop_review.py
@@ -1,4 +1,4 @@
-"""Planned stops of real processes beside what crosses their parts."""
+"""Tests of planned stops of real processes that coincide with other events."""
 
 import asyncio
 import itertools
@@ -23,11 +23,11 @@
     _slow_answer,
 )
 
-CROSSES_S = 0.2
-"""A request that is sent no longer than this before a close may cross it."""
+CLOSE_RACE_S = 0.2
+"""A request that is sent within this time before a close may cross the close."""
 
-STANDS_STILL_S = 0.1
-"""How long an instance stands still that has used up its share of a processor."""
+THROTTLED_S = 0.1
+"""How long the CPU limit pauses an instance that has used up its share."""
 
 
 async def _short_work(request: web.BaseRequest) -> web.StreamResponse:
@@ -36,11 +36,14 @@
 
 
 def _first_short() -> Script:
-    """Streams of one event, as many as tell how long streams take, then long ones."""
-    asked = itertools.count(1)
+    """Make a script that serves one-event streams, then long ones.
+
+    It serves as many short streams as the estimate of a stream's duration needs.
+    """
+    requests = itertools.count(1)
 
     async def stream(request: web.BaseRequest) -> web.StreamResponse:
-        if next(asked) > FEWEST:
+        if next(requests) > FEWEST:
             return await _long_stream(request)
         response = web.StreamResponse(headers=_echo(request))
         response.enable_chunked_encoding()
@@ -60,7 +63,7 @@
 
 
 async def _wide_stream(request: web.BaseRequest) -> web.StreamResponse:
-    """Events as fast as they are taken."""
+    """Send events as fast as the gateway reads them."""
     response = web.StreamResponse(headers=_echo(request))
     response.enable_chunked_encoding()
     await response.prepare(request)
@@ -70,10 +73,11 @@
 
 
 class Caller:
-    """Asks one thing after the other on a kept connection, until none is taken.
+    """Sends sequential requests on a reused connection until connections are refused.
 
-    :ivar statuses: of whole answers.
-    :ivar lost: requests that were passed on, or old, and got no whole answer.
+    :ivar statuses: statuses of the complete answers.
+    :ivar lost: requests without a complete answer that had reached the endpoint, or
+        were sent more than ``CLOSE_RACE_S`` before the connection closed.
     """
 
     def __init__(self, site: Site) -> None:
@@ -82,7 +86,7 @@
         self.lost: list[str] = []
 
     async def run(self) -> None:
-        """Ask until no connection is taken."""
+        """Send requests until a connection is refused."""
         for i in range(1_000):
             began_s = time.monotonic()
             try:
@@ -92,7 +96,7 @@
             except (aiohttp.ClientError, OSError) as exc:
                 took_s = time.monotonic() - began_s
                 seen = {r.headers["X-Attempt-Id"] for r in self._site.endpoint.seen}
-                if f"r{i}" in seen or took_s > CROSSES_S:
+                if f"r{i}" in seen or took_s > CLOSE_RACE_S:
                     self.lost.append(f"r{i}: {exc!r} after {took_s:.3f} s")
             await asyncio.sleep(0.01)
 
@@ -109,13 +113,14 @@
             return answer.status
 
 
-class CrossingTest(unittest.TestCase):
+class CloseRaceTest(unittest.TestCase):
     @params((3.45,), (3.55,), (3.6,))
-    def test_what_comes_while_a_stop_closes_is_answered_or_refused(self, after_s):
-        """Guards against requests taken behind the last look at what is in progress."""
-        asyncio.run(self._crossing(after_s))
+    def test_requests_while_the_listeners_close_are_answered_or_refused(self, after_s):
+        """Guards against requests that are admitted after the last check whether any
+        are in progress."""
+        asyncio.run(self._assert_none_lost(after_s))
 
-    async def _crossing(self, after_s: float) -> None:
+    async def _assert_none_lost(self, after_s: float) -> None:
         async with Site(_short_work) as site:
             stops_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
@@ -126,38 +131,40 @@
             self.assertEqual(caller.lost, [], caller.statuses)
 
 
-async def _ends(site: Site, began_s: float) -> float:
-    """Wait for the gateway's own end; how long after ``began_s`` it came."""
+async def _wait_for_exit(site: Site, began_s: float) -> float:
+    """Wait until the gateway exits on its own; return the time since ``began_s``."""
     status = await site.gateway.wait_for_exit(site.grace_s + began_s - time.monotonic())
     took_s = time.monotonic() - began_s
     assert status == 0, (status, site.gateway.log_records("stop_stage"))
     return took_s
 
 
-class OwnEndTest(unittest.TestCase):
+class ExitInTimeTest(unittest.TestCase):
     @params(
         (2.0, _long_stream, "/stream/x"),
         (2.0, _slow_answer, "/once/x"),
     )
-    def test_a_short_grace_is_enough(self, grace_s, script, path):
-        """Guards against a stop that fits only one length of grace."""
-        asyncio.run(self._short_grace(grace_s, script, path))
+    def test_process_exits_within_a_short_grace_time(self, grace_s, script, path):
+        """Guards against a stop that fits one length of the grace time only."""
+        asyncio.run(self._assert_exits_in_time(grace_s, script, path))
 
-    async def _short_grace(self, grace_s: float, script: Script, path: str) -> None:
+    async def _assert_exits_in_time(
+        self, grace_s: float, script: Script, path: str
+    ) -> None:
         async with Site(script, grace_s) as site:
             asking = asyncio.create_task(site.ask(path))
-            await site.until_asked()
+            await site.until_request_arrives()
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
-            await _ends(site, began_s)
+            await _wait_for_exit(site, began_s)
             outcome = await asking
-            self.assertEqual(outcome.whole, path == "/once/x")
+            self.assertEqual(outcome.complete, path == "/once/x")
 
-    def test_a_body_that_never_ends_does_not_delay_the_exit(self):
-        """Guards against a stop that waits for a request that is not read whole."""
-        asyncio.run(self._endless_body())
+    def test_incomplete_request_body_does_not_delay_the_exit(self):
+        """Guards against a stop that waits for the rest of a request body."""
+        asyncio.run(self._assert_exits_with_incomplete_body())
 
-    async def _endless_body(self) -> None:
+    async def _assert_exits_with_incomplete_body(self) -> None:
         async with Site(_slow_answer) as site:
             host, port = site.gateway.front_address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -168,32 +175,32 @@
             await asyncio.sleep(0.2)
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
-            await _ends(site, began_s)
+            await _wait_for_exit(site, began_s)
             self.assertEqual(await reader.read(), b"")
             writer.close()
 
-    def test_a_stream_that_is_not_read_does_not_delay_the_exit(self):
-        """Guards against a stop that waits for a caller that takes no events."""
-        asyncio.run(self._unread_stream())
+    def test_unread_stream_does_not_delay_the_exit(self):
+        """Guards against a stop that waits for a caller that reads no events."""
+        asyncio.run(self._assert_exits_with_unread_stream())
 
-    async def _unread_stream(self) -> None:
+    async def _assert_exits_with_unread_stream(self) -> None:
         async with Site(_wide_stream) as site:
-            asking = asyncio.create_task(site.ask_and_not_read("/stream/x"))
-            await site.until_asked()
+            asking = asyncio.create_task(site.ask_without_reading("/stream/x"))
+            await site.until_request_arrives()
             await asyncio.sleep(1.0)
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
-            await _ends(site, began_s)
+            await _wait_for_exit(site, began_s)
             asking.cancel()
 
-    def test_all_that_holds_a_stop_up_at_once(self):
-        """Guards against parts of a stop that fit its grace time one by one only."""
-        asyncio.run(self._all_at_once())
+    def test_combined_delays_fit_the_grace_time(self):
+        """Guards against stages of a stop that fit the grace time only one by one."""
+        asyncio.run(self._assert_exits_despite_all_delays())
 
-    async def _all_at_once(self) -> None:
+    async def _assert_exits_despite_all_delays(self) -> None:
         async with Site(_by_path) as site:
             asking = [
-                asyncio.create_task(site.ask_and_not_read(path))
+                asyncio.create_task(site.ask_without_reading(path))
                 for path in ("/plain/x", "/stream/x", "/resume/x")
             ]
             asking.append(asyncio.create_task(site.ask("/once/x")))
@@ -207,32 +214,32 @@
             site.log.silent = True
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
-            await _ends(site, began_s)
+            await _wait_for_exit(site, began_s)
             for task in asking[:-1]:
                 task.cancel()
             self.assertEqual((await asking[-1]).status, 504)
             writer.close()
 
-    def test_signals_during_a_stop_change_nothing(self):
-        """Guards against a stop that a second signal cuts short or prolongs."""
-        asyncio.run(self._signals())
+    def test_signals_during_a_stop_have_no_effect(self):
+        """Guards against a stop that a second signal shortens or prolongs."""
+        asyncio.run(self._assert_signals_ignored())
 
-    async def _signals(self) -> None:
+    async def _assert_signals_ignored(self) -> None:
         async with Site(_long_stream) as site:
             asking = asyncio.create_task(site.ask("/stream/x"))
-            await site.until_asked()
+            await site.until_request_arrives()
             began_s = time.monotonic()
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 site.gateway.signal(number)
                 await asyncio.sleep(0.3)
-            self.assertGreater(await _ends(site, began_s), GRACE_S * 5 / 6)
-            self.assertFalse((await asking).whole)
+            self.assertGreater(await _wait_for_exit(site, began_s), GRACE_S * 5 / 6)
+            self.assertFalse((await asking).complete)
 
-    def test_a_stop_of_a_start_without_log_ends_by_itself(self):
+    def test_process_that_starts_without_a_log_can_be_stopped(self):
         """Guards against a process that cannot be stopped before it is ready."""
-        asyncio.run(self._while_starting())
+        asyncio.run(self._assert_exits_while_starting())
 
-    async def _while_starting(self) -> None:
+    async def _assert_exits_while_starting(self) -> None:
         async with Site(_long_stream) as site:
             await site.gateway.kill()
             site.log.silent = True
@@ -242,66 +249,73 @@
             )
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
-            await _ends(site, began_s)
+            await _wait_for_exit(site, began_s)
 
-    def test_a_stop_that_is_fenced_serves_to_its_end(self):
-        """Guards against a stop that a task's end cuts short."""
-        asyncio.run(self._fenced())
+    def test_process_fenced_during_a_stop_finishes_the_stop(self):
+        """Guards against a stop that ends early because a task ends."""
+        asyncio.run(self._assert_fenced_stop_finishes())
 
-    async def _fenced(self) -> None:
+    async def _assert_fenced_stop_finishes(self) -> None:
         async with Site(_long_stream) as site:
             asking = asyncio.create_task(site.ask("/stream/x"))
-            await site.until_asked()
+            await site.until_request_arrives()
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
             await asyncio.sleep(0.5)
             producers = site.log.topic(ENTRIES_TOPIC).producers
             for name, (epoch, number) in list(producers.items()):
                 producers[name] = (epoch + 1, number)
-            self.assertGreater(await _ends(site, began_s), GRACE_S * 5 / 6)
-            self.assertFalse((await asking).whole)
+            self.assertGreater(await _wait_for_exit(site, began_s), GRACE_S * 5 / 6)
+            self.assertFalse((await asking).complete)
 
     @params((_long_stream, "/stream/x", 200), (_slow_answer, "/once/x", 504))
-    def test_a_stop_of_a_slow_process_ends_requests_itself(self, script, path, status):
-        """Guards against a stop that fits a fast machine only."""
-        asyncio.run(self._slow(script, path, status))
+    def test_slow_process_exits_within_the_grace_time(self, script, path, status):
+        """Guards against a stop that fits the grace time on a fast machine only."""
+        asyncio.run(self._assert_slow_process_exits(script, path, status))
 
-    async def _slow(self, script: Script, path: str, status: int) -> None:
+    async def _assert_slow_process_exits(
+        self, script: Script, path: str, status: int
+    ) -> None:
         async with Site(script) as site:
             asking = asyncio.create_task(site.ask(path))
-            await site.until_asked()
+            await site.until_request_arrives()
             slowing = asyncio.create_task(_slow_down(site))
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
-            await _ends(site, began_s)
+            await _wait_for_exit(site, began_s)
             slowing.cancel()
             outcome = await asking
-            self.assertEqual((outcome.status, outcome.whole), (status, status == 504))
+            self.assertEqual(
+                (outcome.status, outcome.complete), (status, status == 504)
+            )
 
 
 class LateSignalTest(unittest.TestCase):
-    def test_a_stop_heard_late_takes_no_stream_later(self):
-        """Guards against a stream taken over 3 s after SIGTERM and cut."""
-        asyncio.run(self._heard_late())
+    def test_late_handling_of_the_signal_does_not_extend_admission(self):
+        """Guards against a stream that is admitted over 3 s after SIGTERM and aborted.
+
+        The process is paused when the signal is sent, so it handles the signal late.
+        """
+        asyncio.run(self._assert_late_stream_refused())
 
-    async def _heard_late(self) -> None:
+    async def _assert_late_stream_refused(self) -> None:
         async with Site(_first_short()) as site:
             for _ in range(FEWEST):
-                self.assertTrue((await site.ask("/stream/x")).whole)
+                self.assertTrue((await site.ask("/stream/x")).complete)
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGSTOP)
             site.gateway.signal(signal.SIGTERM)
-            await asyncio.sleep(STANDS_STILL_S)
+            await asyncio.sleep(THROTTLED_S)
             site.gateway.signal(signal.SIGCONT)
             await asyncio.sleep(began_s + 3.02 - time.monotonic())
             sent_s = time.monotonic() - began_s
             outcome = await site.ask("/stream/x")
-            await _ends(site, began_s)
-            self.assertEqual((outcome.status, outcome.whole), (503, True), sent_s)
+            await _wait_for_exit(site, began_s)
+            self.assertEqual((outcome.status, outcome.complete), (503, True), sent_s)
 
 
 async def _slow_down(site: Site) -> None:
-    """Let the process run for a seventh of the time."""
+    """Pause the process repeatedly so that it runs for a seventh of the time."""
     while True:
         site.gateway.signal(signal.SIGSTOP)
         await asyncio.sleep(0.06)
