--- a/src/celerytrack/prepaid/book.py
+++ b/src/celerytrack/prepaid/book.py
@@ -1,4 +1,4 @@
-"""All rows as one entry folded them, and its own share of each account."""
+"""The folded rows of all entries, and this entry's own share of each account."""
 
 import math
 from collections.abc import Mapping, Set
@@ -21,10 +21,10 @@
 
 
 class PrepaidBook:
-    """All rows as this entry folded them, and its own share of each account.
+    """The folded rows of all entries, and this entry's own share of each account.
 
-    :param me: this entry; its row is known by this name.
-    :ivar row_time_s: how long a row takes to be on the log and read back.
+    :param me: this entry, which is also the key of its row.
+    :ivar row_time_s: how long it takes to append a row and read it back.
     """
 
     def __init__(self, me: EntryId) -> None:
@@ -37,13 +37,13 @@
         self._leaving = False
         self.guard = RestoreGuard(me)
 
-    # -- what is declared and what was read --------------------------------
+    # -- configured totals and folded rows --------------------------------
 
     def set_totals(self, totals: Mapping[AccountId, int]) -> None:
-        """Take the prepaid totals of the configuration in force.
+        """Apply the prepaid totals of the active configuration.
 
-        A total never falls here: a lower one cannot take back what was
-        granted under the higher.
+        A total never falls here: a lower one cannot revoke what was granted
+        under the higher one.
         """
         for account, tokens in totals.items():
             self._totals[account] = max(tokens, self._totals.get(account, 0))
@@ -55,54 +55,55 @@
         row: Mapping[AccountId, Row],
         era: Era | None = None,
     ) -> None:
-        """Take the newest row of ``entry``; ``{}`` if it was dropped.
+        """Fold the newest row of ``entry``; ``{}`` if it was dropped.
 
-        :param era: the era that its owner knew when it made the row.
+        :param era: the era that the owner knew when it made the row.
         """
         for account in self.rows.fold(entry, self.guard.take(entry, row, era)):
             self._accept(account)
 
     def rose(self, era: Era, awaited: Set[EntryId], now_s: float) -> None:
-        """The log came back from a copy: hold to what is known, claim nothing more.
+        """Hold all allowances: the log was restored from an older backup.
 
         :param awaited: the entries that may be alive.
         """
         self.guard.rose(era, awaited, now_s)
 
     def unreadable(self, entry: EntryId) -> None:
-        """The newest row of ``entry`` cannot be read.
+        """Record that the newest row of ``entry`` cannot be decoded.
 
-        Whatever it claims is unknown, so nothing more is taken until it can
-        be: ignoring it would hand out its tokens a second time, as when
+        Its claims are unknown, so no allowance rises until it can be decoded.
+        Ignoring the row would allocate its tokens twice, for example while
         entries of two releases run side by side.
         """
         self.rows.unreadable(entry)
 
     def keep_only(self, entries: set[EntryId]) -> None:
-        """Drop the rows of all but ``entries``: theirs are the only ones left."""
+        """Drop the rows of all but ``entries``, which still have one on the log."""
         for entry in self.rows.entries() - entries:
             self.fold(entry, {})
 
     def adopt(self, age_s: float | None) -> None:
-        """Take over the row that an earlier start of this entry left.
+        """Adopt the row that an earlier run of this entry left.
 
-        :param age_s: how old the row was when that start had certainly ended;
-            ``None`` if nobody can tell.
+        :param age_s: the row's age when that run had certainly ended; ``None`` if
+            unknown.
         """
         for account, row in self.rows.mine().items():
             self._shares[account] = Share.adopted(row, age_s)
 
     def recall(self, row: Mapping[AccountId, Row]) -> None:
-        """Another entry knows ``row`` of this one, from before the log came back."""
+        """Merge this entry's row as a peer knew it before the log was restored."""
         self.fold(self.rows.me, most(self.rows.mine(), row))
 
     def free_beyond(self, left: Mapping[AccountId, Row], age_s: float) -> None:
-        """Free what :meth:`adopt` counted as spent but cannot have been.
+        """Free what :meth:`adopt` counted as spent but cannot have been spent.
 
-        Called at most once, when it turned out how old the row was when the
-        earlier start had certainly ended.
+        Called at most once, when the age that the row had at the certain end of the
+        earlier run becomes known.
 
-        :param left: the row it left.
+        :param left: the row that the earlier run left.
+        :param age_s: that age.
         """
         for account, row in left.items():
             self._share(account).free_beyond(row, age_s)
@@ -116,9 +117,9 @@
     def reserve(
         self, account: AccountId, tokens: int, now_s: float, urgent: bool = False
     ) -> Reservation | None:
-        """Set ``tokens`` aside, or ``None`` if too few may be spent here.
+        """Reserve ``tokens``; ``None`` if too few are available here.
 
-        :param urgent: whether no request is more urgent.
+        :param urgent: whether the request is of the most urgent kind.
         """
         share = self._share(account)
         share.largest_tokens = max(share.largest_tokens, float(tokens))
@@ -131,10 +132,10 @@
         return Reservation(account, tokens)
 
     def may_claim(self, account: AccountId, tokens: int, urgent: bool) -> bool:
-        """Whether a row of this entry could bring ``tokens``, as far as known.
+        """Whether a row of this entry could provide ``tokens``, as far as known.
 
-        :param urgent: whether no request is more urgent: the last tokens are
-            claimed only for those.
+        :param urgent: whether the request is of the most urgent kind; the last tokens
+            are claimed only for such requests.
         """
         accepted = self._share(account).accepted_tokens
         room = accepted if self.guard.holding else self._room(account)
@@ -143,21 +144,21 @@
         return self._share(account).floor_tokens + tokens <= max(room, accepted)
 
     def may_free(self, account: AccountId, now_s: float) -> bool:
-        """Whether a row would bring more of what this entry has claimed."""
+        """Whether a new row would unlock more of what this entry has claimed."""
         share = self._share(account)
         locked = share.accepted_tokens - share.floor_tokens
         return locked > self.left_tokens(account, now_s)
 
     def want(self, account: AccountId, tokens: int) -> None:
-        """Have the next row bring ``tokens`` of ``account`` in hand."""
+        """Ask for ``tokens`` of ``account`` as immediate tokens of the next row."""
         share = self._share(account)
         share.wanted_tokens = max(share.wanted_tokens, tokens)
 
     def commit(self, held: Reservation, used_tokens: int, now_s: float) -> None:
-        """The request ended having used ``used_tokens``; the rest is free.
+        """Count ``used_tokens`` of a finished request as spent and free the rest.
 
-        A count above what was reserved is cut to it: the reservation is the
-        request's largest cost, and no more is covered.
+        A count above the reservation is cut to it: the reservation is the request's
+        largest possible cost, and no more is covered.
         """
         share = self._share(held.account)
         used = min(used_tokens, held.tokens)
@@ -165,51 +166,51 @@
         share.spend(used, now_s)
 
     def unreserve(self, held: Reservation) -> None:
-        """The request did not run: all of it is free again."""
+        """Free the whole reservation of a request that did not run."""
         self._share(held.account).reserved_tokens -= held.tokens
 
     def exhausted(self, account: AccountId, tokens: int) -> bool:
-        """Whether ``tokens`` certainly do not fit what is left of the total.
+        """Whether ``tokens`` certainly exceed what is left of the total.
 
-        Only what entries know to be spent counts, a lower bound, so that a
-        final refusal is never given for tokens that merely lie elsewhere.
+        Only known use counts, which is a lower bound: tokens that other entries
+        merely hold are never the reason for a final refusal.
         """
         return self._known_used(account) + tokens > self._totals.get(account, 0)
 
     def left_tokens(self, account: AccountId, now_s: float) -> int:
-        """What may be reserved of ``account`` here at ``now_s``."""
+        """Tokens of ``account`` that can be reserved here at ``now_s``."""
         share = self._share(account)
         limit = min(share.accepted_tokens, self._own.limit_tokens(account, now_s))
         return limit - share.floor_tokens
 
     def free_in_s(self, account: AccountId, tokens: int, now_s: float) -> float | None:
-        """How long until ``tokens`` may be reserved here if no row is written;
-        ``None`` if the claim does not hold them."""
+        """Seconds until ``tokens`` can be reserved here if no row is written;
+        ``None`` if the claim does not cover them."""
         share = self._share(account)
         needed = share.floor_tokens + tokens
         if needed > share.accepted_tokens:
             return None
         return self._own.free_in_s(account, needed, now_s)
 
-    # -- gifts between entries ---------------------------------------------
+    # -- transfers between entries -----------------------------------------
 
     def give(self, account: AccountId, tokens: int, now_s: float) -> int:
-        """Give up to ``tokens`` to another entry; how many it gets."""
+        """Transfer up to ``tokens`` to another entry; returns how many."""
         given = min(tokens, self.givable_tokens(account, now_s))
         self._share(account).gifted_tokens += given
         return given
 
     def givable_tokens(self, account: AccountId, now_s: float) -> int:
-        """What another entry could be given now."""
+        """Tokens that could be transferred to another entry now."""
         return max(0, int(self.left_tokens(account, now_s) * GIFT_SHARE))
 
     @staticmethod
     def enough_to_give(tokens: int) -> int:
-        """What must be in hand so that ``tokens`` can be given."""
+        """Tokens that must be available so that ``tokens`` can be transferred."""
         return math.ceil(tokens / GIFT_SHARE)
 
     def receive(self, account: AccountId, tokens: int) -> None:
-        """Take a gift of ``tokens``."""
+        """Add ``tokens`` that another entry transferred."""
         self._share(account).received_tokens += tokens
 
     # -- planning ----------------------------------------------------------
@@ -217,8 +218,8 @@
     def plan(self, entries: float, now_s: float) -> bool:
         """Decide what to claim of each account next.
 
-        :param entries: into how many parts like this entry's an account is divided
-            until it is known who spends it.
+        :param entries: how many parts like this entry's an account is divided into
+            until the spend rates are known.
         :returns: whether requests wait for the next row.
         """
         self._entries = max(1.0, entries)
@@ -229,7 +230,7 @@
         return urgent
 
     def next_row(self, now_s: float) -> dict[AccountId, Row]:
-        """The row to write now, with what may be spent lowered to it.
+        """Make the row to write now, and lower the allowances to it.
 
         :meth:`row_folded` must follow before the next call.
         """
@@ -239,8 +240,9 @@
             share.claim_tokens = max(share.claim_tokens, floor)
             share.accepted_tokens = min(share.accepted_tokens, share.claim_tokens)
             goal = self._goal(account, now_s)
-            # In full: what came free as the last row grew old is not in the new
-            # row's hand, and a request that lacks only that would go without.
+            # The wanted tokens count in full: those that the last row unlocked with
+            # age are locked again under the new row, and a request that relies on
+            # them would be refused.
             hand = floor + max(goal.hand_tokens, share.wanted_tokens)
             row[account] = Row(
                 claimed_tokens=share.claim_tokens,
@@ -258,26 +260,26 @@
         return row
 
     def row_folded(self) -> None:
-        """The row of :meth:`next_row` is on the log and was folded."""
+        """Record that the row of :meth:`next_row` is on the log and was folded."""
         self._own.folded()
         for account in self._shares:
             self._accept(account)
 
     @property
     def row_on_its_way(self) -> bool:
-        """Whether a row was made that was not folded yet."""
+        """Whether a row was made and is not folded yet."""
         return self._own.on_its_way
 
     def return_unspent(self) -> None:
-        """Claim no more than is spent or reserved: this entry leaves."""
+        """Claim no more than is spent or reserved, because this entry is leaving."""
         self._leaving = True
         for share in self._shares.values():
             share.claim_tokens = share.floor_tokens
             share.wanted_tokens = 0
 
     def summary(self, now_s: float) -> dict[AccountId, tuple[int, int, int, int]]:
-        """Of each account: total, claimed by all, used by all as far as
-        known, and left here; in tokens."""
+        """Per account, in tokens: the total, claimed by all entries, known to be
+        used by all entries, and available here."""
         return {
             account: (
                 total,
@@ -289,7 +291,7 @@
         }
 
     def lost(self) -> dict[AccountId, int]:
-        """What counts as spent only because an earlier start may have."""
+        """Tokens per account that an earlier run claimed and may not have used."""
         shares = self._shares.items()
         return {a: s.lost_tokens for a, s in shares if s.lost_tokens}
 
@@ -299,11 +301,11 @@
         floor = share.floor_tokens
         room = self._room(account)
         if self._free(account) < 0 and share.claim_tokens > share.accepted_tokens:
-            # Our claim did not fit: withdraw it, or it blocks all others'.
+            # The claim does not fit. If it stayed, it would block the others' claims.
             share.claim_tokens = max(share.accepted_tokens, floor)
             return True
         if self.guard.holding:
-            # What was claimed and not accepted is claimed again when the hold is over.
+            # A claim that was not accepted is made again after the hold.
             kept = 0 if self._leaving else share.accepted_tokens
             share.claim_tokens = max(kept, floor)
             return share.wanted_tokens > 0
@@ -354,11 +356,11 @@
         return self._usable(account) - self.rows.claimed_tokens(account)
 
     def _room(self, account: AccountId) -> int:
-        """The most that a row of this entry could claim beside the others."""
+        """The largest claim of this entry that fits beside those of the others."""
         return self._free(account) + self._own.published(account).claimed_tokens
 
     def _accept(self, account: AccountId) -> None:
-        # The one place where what may be spent rises.
+        # The only place where an allowance rises.
         share = self._share(account)
         if share.accepted_tokens >= share.claim_tokens:
             return
--- a/src/celerytrack/prepaid/own_row.py
+++ b/src/celerytrack/prepaid/own_row.py
@@ -1,7 +1,6 @@
-"""This entry's own row: the one on the log, and the one on its way there.
+"""This entry's own row: the one on the log and the one in flight.
 
-A next start of the entry finds one of the two, whichever: what may be spent must
-fit both.
+The next run of the entry finds either of the two, so spending must fit both.
 """
 
 from collections.abc import Mapping
@@ -14,61 +13,61 @@
 class OwnRow:
     """What this entry's rows allow it to spend.
 
-    :param rows: all rows as folded, this entry's among them.
+    :param rows: all folded rows, including this entry's.
     """
 
     def __init__(self, rows: FoldedRows) -> None:
         self._rows = rows
         self._in_flight: Mapping[AccountId, Row] | None = None
         self._made_s = float("inf")
-        # No row of this start is on the log before its first was folded.
+        # No row of this run is on the log until its first one is folded.
         self._published_made_s = float("inf")
 
     @property
     def on_its_way(self) -> bool:
-        """Whether a row was sent that was not folded yet."""
+        """Whether a row was sent and is not folded yet."""
         return self._in_flight is not None
 
     def published(self, account: AccountId) -> Row:
-        """What the row on the log says of ``account``."""
+        """The row of ``account`` on the log."""
         return self._rows.mine().get(account, Row())
 
     def sent(self, row: Mapping[AccountId, Row], now_s: float) -> None:
-        """``row`` was made now and goes to the log."""
+        """Record that ``row`` was made at ``now_s`` and sent to the log."""
         self._in_flight = row
         self._made_s = now_s
 
     def folded(self) -> None:
-        """The row that was sent is on the log and was folded."""
+        """Record that the row in flight is on the log and was folded."""
         self._in_flight = None
         self._published_made_s = self._made_s
 
     def claimed_tokens(self, account: AccountId) -> int:
-        """What both rows claim at least.
+        """The lower claim of the two rows.
 
-        A lower row on its way to the log would otherwise land under an
-        allowance raised to the row before it.
+        With the folded row alone, the allowance could rise to its claim while a
+        lower row is in flight, and exceed that one when it lands.
         """
         claimed = self.published(account).claimed_tokens
-        coming = self._coming(account)
-        return claimed if coming is None else min(claimed, coming.claimed_tokens)
+        in_flight = self._in_flight_row(account)
+        return claimed if in_flight is None else min(claimed, in_flight.claimed_tokens)
 
     def limit_tokens(self, account: AccountId, now_s: float) -> int:
-        """What both rows allow to be spent at ``now_s``."""
+        """The lower limit of the two rows at ``now_s``."""
         age_s = max(0.0, now_s - self._published_made_s)
         limit = self.published(account).limit_tokens(age_s)
-        coming = self._coming(account)
-        if coming is None:
+        in_flight = self._in_flight_row(account)
+        if in_flight is None:
             return limit
-        return min(limit, coming.limit_tokens(now_s - self._made_s))
+        return min(limit, in_flight.limit_tokens(now_s - self._made_s))
 
     def free_in_s(self, account: AccountId, tokens: int, now_s: float) -> float | None:
-        """How long until the newest row allows ``tokens``; ``None`` if never."""
-        coming = self._coming(account)
-        if coming is not None:
-            return coming.free_in_s(tokens, now_s - self._made_s)
+        """Seconds until the newest row allows ``tokens``; ``None`` if never."""
+        in_flight = self._in_flight_row(account)
+        if in_flight is not None:
+            return in_flight.free_in_s(tokens, now_s - self._made_s)
         age_s = max(0.0, now_s - self._published_made_s)
         return self.published(account).free_in_s(tokens, age_s)
 
-    def _coming(self, account: AccountId) -> Row | None:
+    def _in_flight_row(self, account: AccountId) -> Row | None:
         return None if self._in_flight is None else self._in_flight.get(account)
--- a/src/celerytrack/prepaid/rows.py
+++ b/src/celerytrack/prepaid/rows.py
@@ -1,4 +1,4 @@
-"""All entries' rows as one entry folded them from the log."""
+"""The rows of all entries, folded from the log."""
 
 from collections.abc import Mapping
 
@@ -10,9 +10,9 @@
 
 @attrs.define
 class Sums:
-    """What the rows of several entries say of one account, together.
+    """Sums over the rows of several entries for one account.
 
-    :ivar wanting: how many of them lack tokens.
+    :ivar wanting: how many of the entries lack tokens.
     """
 
     used_tokens: int = 0
@@ -21,7 +21,7 @@
     wanting: int = 0
 
     def add(self, row: Row, times: int) -> None:
-        """Count ``row``, or with ``times`` -1 no longer."""
+        """Add ``row``, or subtract it with ``times`` -1."""
         self.used_tokens += times * row.used_tokens
         self.lost_tokens += times * row.lost_tokens
         self.rate_tokens_per_s += times * row.rate_tokens_per_s
@@ -29,12 +29,12 @@
 
 
 class FoldedRows:
-    """The newest row of each entry, and what they come to.
+    """The newest row of each entry, with sums per account.
 
-    Sums are kept as rows are folded, so that what an entry does before each row that it
-    writes does not grow with the fleet (``bench.rows_bench``).
+    Sums are updated as rows are folded, so that the work before each write of a row
+    does not grow with the fleet (``bench.rows_bench``).
 
-    :param me: this entry; its own row is among them once it is on the log.
+    :param me: this entry; its own row is included once it is on the log.
     """
 
     def __init__(self, me: EntryId) -> None:
@@ -46,11 +46,11 @@
 
     @property
     def all_readable(self) -> bool:
-        """Whether what every row claims is known."""
+        """Whether the claims of every row are known."""
         return not self._unreadable
 
     def fold(self, entry: EntryId, row: Mapping[AccountId, Row]) -> set[AccountId]:
-        """Take the newest row of ``entry``; the accounts that it concerns."""
+        """Store the newest row of ``entry``; the accounts whose claims it affects."""
         self._unreadable.discard(entry)
         old = self._rows.get(entry, {})
         self._rows[entry] = row
@@ -69,7 +69,7 @@
             self._others.setdefault(account, Sums()).add(published, times)
 
     def unreadable(self, entry: EntryId) -> None:
-        """The newest row of ``entry`` cannot be read."""
+        """Record that the newest row of ``entry`` cannot be decoded."""
         self._unreadable.add(entry)
 
     def entries(self) -> set[EntryId]:
@@ -77,19 +77,18 @@
         return set(self._rows)
 
     def mine(self) -> Mapping[AccountId, Row]:
-        """This entry's row."""
         return self._rows.get(self.me, {})
 
     def claimed_tokens(self, account: AccountId) -> int:
-        """What all rows claim of ``account``."""
+        """The sum of all claims on ``account``."""
         return self._claimed.get(account, 0)
 
     def others(self, account: AccountId) -> Sums:
-        """What the other entries published of ``account``."""
+        """Sums over the other entries' rows of ``account``."""
         return self._others.get(account, Sums())
 
     def richest(self, account: AccountId) -> list[EntryId]:
-        """The other entries by how much of ``account`` they probably hold."""
+        """The other entries that probably hold tokens of ``account``, largest first."""
         left = {
             entry: row.claimed_tokens - row.used_tokens
             for entry, row in self._published(account).items()
--- a/src/celerytrack/prepaid/shares.py
+++ b/src/celerytrack/prepaid/shares.py
@@ -1,4 +1,4 @@
-"""One entry's row and its own share of an account."""
+"""Rows that entries publish, and an entry's own share of an account."""
 
 import math
 
@@ -8,35 +8,35 @@
 
 RATE_WINDOW_S = 8.0
 """Time constant of the spend rate: long enough to span the gaps between large
-prompts, short enough to follow an account that multiplies its traffic."""
+prompts, short enough to follow an account whose traffic multiplies."""
 FRESH_S = 1.7
-"""Up to this age of its row an entry spends only its hand: an instance that lost power
-has started anew by then, so a loss of power of all costs the hands alone. Cuts are
-served from the hand until the rest comes free."""
+"""Age of the row up to which an entry spends only its immediate tokens. An instance
+that lost power has restarted by then, so a power loss of the whole fleet costs only the
+immediate tokens. During a partition these cover requests until more unlocks."""
 OUTAGE_S = 3.5
-"""A row older than this was not written in time because the log is away: a
-killed process, or an instance that lost power for seconds, has started anew by then,
-and what comes free later is not lost to it."""
+"""A row older than this is late because the log is unavailable. A killed process, or
+an instance that lost power for seconds, has restarted by then, so tokens that unlock
+later are not lost to a restart."""
 OUTAGE_TIMES = 9.0
-"""How much faster than its pace the claim then comes free: it was made for this.
-One entry sees a small account's long prompts far apart, each worth many seconds of its
-spend there: at its pace the first of them would be refused until the cut ends."""
+"""Factor on the unlock rate of a row older than :data:`OUTAGE_S`, because outages are
+what the claim is for. One entry sees a small account's long prompts far apart, each
+worth many seconds of the account's spend there. At the normal rate the first of them
+would be refused until the partition ends."""
 LARGEST_DECAY_S = 20.0
-"""How fast the memory of an account's largest request halves."""
+"""Half-life of the size of an account's largest request."""
 
 
 @attrs.frozen
 class Row:
-    """What one entry published of one account; tokens, cumulative.
-
-    :ivar claimed_tokens: what it may have spent at most.
-    :ivar hand_tokens: what it may have spent when the row was made.
-    :ivar used_tokens: what it knows was spent; a lower bound for others.
-    :ivar wanted_tokens: what it lacks for requests it has at hand.
-    :ivar lost_tokens: what its earlier starts claimed and may not have used.
-    :ivar rate_tokens_per_s: how fast it spends the account.
-    :ivar pace_tokens_per_s: what it may have spent more with each second that
-        the row is old.
+    """What one entry publishes about one account; token counts are cumulative.
+
+    :ivar claimed_tokens: upper bound of the entry's spend.
+    :ivar hand_tokens: upper bound of its spend when the row was made.
+    :ivar used_tokens: known spend; a lower bound for other entries.
+    :ivar wanted_tokens: what its waiting requests lack.
+    :ivar lost_tokens: claimed by its earlier runs and perhaps not used.
+    :ivar rate_tokens_per_s: how fast the entry spends the account.
+    :ivar pace_tokens_per_s: tokens that unlock per second of the row's age.
     """
 
     claimed_tokens: int = 0
@@ -48,14 +48,14 @@
     pace_tokens_per_s: int = 0
 
     def limit_tokens(self, age_s: float) -> int:
-        """What may have been spent under this row when it is ``age_s`` old."""
-        paced_tokens = int(self.pace_tokens_per_s * _paced_s(age_s))
-        return min(self.claimed_tokens, self.hand_tokens + paced_tokens)
+        """The most that may be spent under this row at the age of ``age_s``."""
+        unlocked_tokens = int(self.pace_tokens_per_s * _unlocked_s(age_s))
+        return min(self.claimed_tokens, self.hand_tokens + unlocked_tokens)
 
     def free_in_s(self, tokens: int, age_s: float) -> float | None:
-        """How long until ``tokens`` in all may be spent; ``None`` if never.
+        """Seconds until ``tokens`` in total may be spent; ``None`` if never.
 
-        :param age_s: how old the row is now.
+        :param age_s: the row's age now.
         """
         if tokens > self.claimed_tokens:
             return None
@@ -63,27 +63,27 @@
             return 0.0
         if not self.pace_tokens_per_s:
             return None
-        paced_s = (tokens - self.hand_tokens) / self.pace_tokens_per_s
-        return max(0.0, _age_at_s(paced_s) - age_s)
+        unlocked_s = (tokens - self.hand_tokens) / self.pace_tokens_per_s
+        return max(0.0, _age_when_unlocked_s(unlocked_s) - age_s)
 
 
-def _paced_s(age_s: float) -> float:
-    """For how many seconds of spend a row of this age has come free."""
+def _unlocked_s(age_s: float) -> float:
+    """Seconds of spend that a row of this age has unlocked."""
     outage_s = max(0.0, age_s - OUTAGE_S)
     return max(0.0, age_s - FRESH_S) + (OUTAGE_TIMES - 1) * outage_s
 
 
-def _age_at_s(paced_s: float) -> float:
-    """The age at which :func:`_paced_s` is ``paced_s``."""
+def _age_when_unlocked_s(unlocked_s: float) -> float:
+    """The inverse of :func:`_unlocked_s`."""
     before_s = OUTAGE_S - FRESH_S
-    if paced_s <= before_s:
-        return FRESH_S + paced_s
-    return OUTAGE_S + (paced_s - before_s) / OUTAGE_TIMES
+    if unlocked_s <= before_s:
+        return FRESH_S + unlocked_s
+    return OUTAGE_S + (unlocked_s - before_s) / OUTAGE_TIMES
 
 
 @attrs.frozen
 class Reservation:
-    """Tokens set aside for one request at its largest."""
+    """Tokens reserved for one request: its largest possible cost."""
 
     account: AccountId
     tokens: int
@@ -91,17 +91,17 @@
 
 @attrs.define
 class Share:
-    """This entry's part of one account.
+    """This entry's share of one account.
 
     :ivar claim_tokens: what the next row claims.
-    :ivar accepted_tokens: what may be spent at most, however old the row is: a
-        claim on the log that was seen to fit.
-    :ivar gifted_tokens: given to other entries under our row.
-    :ivar received_tokens: given to us under theirs.
-    :ivar wanted_tokens: the largest request that found too little here since the
-        last row; ``urgent_tokens`` the largest of the most urgent ones.
-    :ivar adopted_tokens: part of what is spent that an earlier start of this
-        entry had claimed, of which ``adopted_used_tokens`` are known as used.
+    :ivar accepted_tokens: upper bound of the spend whatever the row's age: a claim
+        on the log that was seen to fit.
+    :ivar gifted_tokens: transferred to other entries under this entry's row.
+    :ivar received_tokens: transferred to this entry under their rows.
+    :ivar wanted_tokens: the largest request since the last row that could not be
+        covered here; ``urgent_tokens`` the largest of the most urgent ones.
+    :ivar adopted_tokens: part of ``spent_tokens`` that an earlier run of this entry
+        may have spent; of these, ``adopted_used_tokens`` are known to be used.
     """
 
     claim_tokens: int = 0
@@ -121,13 +121,13 @@
 
     @classmethod
     def adopted(cls, row: Row, age_s: float | None) -> "Share":
-        """The share of a start whose earlier start left ``row``.
+        """The share of an entry whose earlier run left ``row``.
 
-        What the earlier start may have spent counts as spent: what it delivered after
-        its last row is known to nobody.
+        All that the earlier run may have spent counts as spent, because its use
+        after its last row is not recorded anywhere.
 
-        :param age_s: how old the row was when that start had certainly ended;
-            ``None`` if nobody can tell.
+        :param age_s: the row's age when the earlier run had certainly ended;
+            ``None`` if unknown.
         """
         lost = row.claimed_tokens if age_s is None else row.limit_tokens(age_s)
         return cls(
@@ -139,38 +139,38 @@
         )
 
     def free_beyond(self, row: Row, age_s: float) -> None:
-        """Free what :meth:`adopted` counted as spent under ``row`` without knowing that
-        it was ``age_s`` old at most."""
+        """Free what :meth:`adopted` counted as spent before the maximum age ``age_s``
+        of ``row`` was known."""
         beyond = min(row.claimed_tokens - row.limit_tokens(age_s), self.adopted_tokens)
         self.spent_tokens -= beyond
         self.adopted_tokens -= beyond
 
     @property
     def floor_tokens(self) -> int:
-        """What our row must cover."""
+        """The least that this entry's row must claim."""
         gifts = self.gifted_tokens - self.received_tokens
         return self.spent_tokens + self.reserved_tokens + gifts
 
     @property
     def used_tokens(self) -> int:
-        """What is known to be used, by this start and the ones before."""
+        """Known use by this run and the earlier ones."""
         return self.spent_tokens - self.adopted_tokens + self.adopted_used_tokens
 
     @property
     def lost_tokens(self) -> int:
-        """What earlier starts claimed and may not have used."""
+        """What earlier runs claimed and may not have used."""
         return self.adopted_tokens - self.adopted_used_tokens
 
     def rate_tokens_per_s(self, now_s: float) -> float:
-        """The rate of recent spend, as if it had always been so: an average
-        that began at nothing is low for its first seconds."""
+        """The recent spend rate, corrected for the start-up bias of an average that
+        begins at zero."""
         if self.rated_since_s is None:
             return 0.0
         past_s = max(1.0, now_s - self.rated_since_s)
         return self.spend_tokens_per_s / -math.expm1(-past_s / RATE_WINDOW_S)
 
     def spend(self, tokens: int, now_s: float) -> None:
-        """Count what a request used."""
+        """Count ``tokens`` as used by a request."""
         self.spent_tokens += tokens
         if self.rated_since_s is None:
             self.rated_since_s = now_s
@@ -178,7 +178,7 @@
         self.spend_tokens_per_s += tokens / RATE_WINDOW_S
 
     def decay(self, now_s: float) -> None:
-        """Let the rate and the largest request fade."""
+        """Decay the spend rate and the largest request size up to ``now_s``."""
         past_s = max(0.0, now_s - self.rated_at_s)
         self.spend_tokens_per_s *= math.exp(-past_s / RATE_WINDOW_S)
         self.largest_tokens *= 0.5 ** (past_s / LARGEST_DECAY_S)
