--- a/src/celerytrack/_recent.py
+++ b/src/celerytrack/_recent.py
@@ -1,4 +1,4 @@
-"""A bounded set of keys that forgets the oldest first."""
+"""A bounded set that evicts its oldest keys."""
 
 from collections import OrderedDict
 from collections.abc import Hashable, Iterable, Iterator
@@ -12,17 +12,17 @@
 
 @attrs.define
 class RecentKeys:
-    """The last ``limit`` keys added, for recognising repeats.
+    """The last ``limit`` keys added, for deduplication.
 
     Bounded by count and not by age, so that two readers of the same stream
-    forget the same keys at the same offset, whatever their clocks say.
+    evict the same keys at the same offset, independently of their clocks.
     """
 
     limit: int
     _keys: OrderedDict[Hashable, None] = attrs.field(factory=tuple, converter=_ordered)
 
     def add(self, key: Hashable) -> bool:
-        """Remember ``key``; ``False`` if it was known already."""
+        """Add ``key``; ``False`` if it was present already."""
         if key in self._keys:
             return False
         self._keys[key] = None
--- a/src/celerytrack/escrow.py
+++ b/src/celerytrack/escrow.py
@@ -1,10 +1,10 @@
-"""An entry's escrow: the grants it holds and what requests reserved of them.
+"""An entry's escrow: the grants it holds and the reservations made on them.
 
-Admission reserves a request's largest possible cost before the request is
-sent anywhere; completion commits the real cost and frees the rest. Only
-tokens held in a grant can be reserved, so an entry cut off from the ledger
-spends at most what it holds, and the ledger's fold guarantees that what all
-entries hold never passes the budget.
+Admission reserves a request's largest possible cost before the request is sent;
+completion commits the actual cost and frees the rest. Only tokens of a held
+grant can be reserved, so an entry that is partitioned from the ledger spends at
+most what it holds, and the ledger's fold guarantees that the grants of all
+entries never exceed the budget.
 
 Every method that decides takes the present time ``now_s`` (monotonic
 seconds) as an argument.
@@ -24,10 +24,10 @@
 
 @attrs.define
 class HeldGrant:
-    """A grant this entry holds.
+    """A grant held by this entry.
 
-    :ivar usable_until_s: the lease end; no reservation is made after it.
-    :ivar unconfirmed: bills on this grant whose outcome is not known yet.
+    :ivar usable_until_s: end of the lease; no reservation is made after it.
+    :ivar unconfirmed: number of bills on this grant whose outcome is unknown.
     """
 
     grant_id: GrantId
@@ -46,13 +46,13 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing depends on it: no reservation and no open bill."""
+        """Whether the grant has neither a reservation nor an unconfirmed bill."""
         return self.reserved_tokens == 0 and self.unconfirmed == 0
 
 
 @attrs.frozen
 class Reservation:
-    """Tokens set aside for one request, possibly across several grants."""
+    """Tokens reserved for one request, possibly across several grants."""
 
     request_id: RequestId
     account: AccountId
@@ -60,7 +60,7 @@
 
     @property
     def tokens(self) -> int:
-        """The total reserved."""
+        """The total reserved tokens."""
         return sum(n for _, n in self.parts)
 
 
@@ -70,10 +70,10 @@
 
 @attrs.define
 class EscrowBook:
-    """All grants one entry holds, and their reservations.
+    """All grants held by one entry, and their reservations.
 
-    :ivar entry: this entry's id, used to make grant ids.
-    :ivar pending: accounts for which a grant was asked and not answered yet.
+    :ivar entry: this entry's id, a part of each grant id.
+    :ivar pending: accounts with a requested grant whose outcome is unknown.
     """
 
     entry: EntryId
@@ -88,12 +88,12 @@
         return GrantId(f"{self.entry}.{boot_id}.{next(self._serial)}")
 
     def add(self, grant: HeldGrant) -> None:
-        """Hold a grant that the ledger accepted."""
+        """Add a grant that the ledger accepted."""
         self.grants[grant.grant_id] = grant
         self._by_account.setdefault(grant.account, {})[grant.grant_id] = grant
 
     def held(self, account: AccountId) -> Iterable[HeldGrant]:
-        """The grants of ``account`` held now."""
+        """The grants of ``account`` that this entry holds."""
         return self._by_account.get(account, {}).values()
 
     def available(self, account: AccountId, now_s: float) -> int:
@@ -103,33 +103,33 @@
     def reserve(
         self, request_id: RequestId, account: AccountId, tokens: int, now_s: float
     ) -> Reservation | None:
-        """Set aside ``tokens`` for a request, or ``None`` if not held."""
+        """Reserve ``tokens`` for a request; ``None`` if too few are available."""
         if tokens > self.available(account, now_s):
             return None
         parts: list[tuple[GrantId, int]] = []
         left = tokens
-        # Soonest-ending grants first, so tokens are used before leases end.
+        # Grants whose lease ends soonest come first, so that tokens are used in time.
         for grant in sorted(self.held(account), key=lambda g: g.usable_until_s):
-            take = min(left, grant.available(now_s))
-            if take > 0:
-                grant.reserved_tokens += take
-                parts.append((grant.grant_id, take))
-                left -= take
+            part = min(left, grant.available(now_s))
+            if part > 0:
+                grant.reserved_tokens += part
+                parts.append((grant.grant_id, part))
+                left -= part
             if left == 0:
                 break
         self._rates.setdefault(account, _DecayingRate()).add(tokens, now_s)
         return Reservation(request_id, account, tuple(parts))
 
     def rate_tokens_per_s(self, account: AccountId, now_s: float) -> float:
-        """How fast this entry has lately reserved tokens of ``account``."""
+        """The recent rate at which this entry reserved tokens of ``account``."""
         rate = self._rates.get(account)
         return rate.per_s(now_s) if rate is not None else 0.0
 
     def commit(self, reservation: Reservation, spent_tokens: int) -> Charges:
-        """Turn a reservation into spend of ``spent_tokens``; free the rest.
+        """Count ``spent_tokens`` of a reservation as spent and free the rest.
 
-        :returns: the charges to bill (never above the reservation). Each
-            grant in them counts as unconfirmed until :meth:`confirm`.
+        :returns: the charges to bill, never above the reservation. Each of their
+            grants has an unconfirmed bill until :meth:`confirm`.
         """
         left = min(max(spent_tokens, 0), reservation.tokens)
         charges: list[tuple[GrantId, int]] = []
@@ -140,8 +140,8 @@
                 charges.append((grant_id, spend))
             grant = self.grants.get(grant_id)
             if grant is None:
-                # Closed under us by a reclaim while the request ran: the
-                # bill will come back void, and the caller of this decides.
+                # The grant was reclaimed while the request ran. Its bill will be
+                # void, and the caller decides what to do about that.
                 continue
             grant.reserved_tokens -= tokens
             if spend > 0:
@@ -150,8 +150,7 @@
         return tuple(charges)
 
     def confirm(self, charges: Charges, outcome: BillOutcome) -> None:
-        """Take the ledger's word on a bill: what it did not charge is ours
-        to spend again."""
+        """Apply the ledger's outcome of a bill; uncharged tokens are free again."""
         for grant_id, tokens in charges:
             grant = self.grants.get(grant_id)
             if grant is None:
@@ -161,16 +160,16 @@
                 grant.spent_tokens -= tokens
 
     def release(self, reservation: Reservation) -> None:
-        """Give a reservation back unspent: the request never ran."""
+        """Free the whole reservation of a request that did not run."""
         self.commit(reservation, 0)
 
     @property
     def has_open_bills(self) -> bool:
-        """Whether the outcome of some bill is not known yet."""
+        """Whether the outcome of any bill is unknown."""
         return any(grant.unconfirmed for grant in self.grants.values())
 
     def settleable(self, now_s: float, *, all_grants: bool = False) -> list[HeldGrant]:
-        """Idle grants whose lease has ended (or all idle ones, on drain)."""
+        """Idle grants whose lease has ended, or all idle grants while draining."""
         return [
             g
             for g in self.grants.values()
@@ -178,11 +177,11 @@
         ]
 
     def spare(self, account: AccountId) -> list[HeldGrant]:
-        """Idle grants of ``account``, to give back when others want them."""
+        """Idle grants of ``account``, to be settled when other entries want them."""
         return [g for g in self.held(account) if g.idle]
 
     def forget(self, grant_id: GrantId) -> None:
-        """Drop a grant that is closed, or whose settle is being written."""
+        """Remove a grant that is closed or whose settle record is being written."""
         grant = self.grants.pop(grant_id, None)
         if grant is not None:
             self._by_account[grant.account].pop(grant_id, None)
@@ -193,7 +192,7 @@
 
 @attrs.define
 class _DecayingRate:
-    """Tokens a second, averaged over about :data:`_RATE_WINDOW_S`."""
+    """Tokens per second, averaged over about :data:`_RATE_WINDOW_S`."""
 
     _tokens: float = 0.0
     _at_s: float = 0.0
@@ -210,22 +209,22 @@
 
 
 HELD_SHARE = 2
-"""An entry keeps in hand at most half of what it holds and what is free
-together. A grant is capped by what is held already: a burst at one entry
-would otherwise take one slice after the other until it sat on nearly all,
-and if it then died or was cut off, every other entry would refuse."""
+"""An entry holds at most this fraction (one half) of its held and the free tokens
+together. The held tokens count, because a burst at one entry could otherwise take grant
+after grant until the entry held nearly all tokens. If it then died or were partitioned,
+every other entry would refuse requests."""
 
 
 def grant_size(
     free_tokens: int, available_tokens: int, missing_tokens: int, usual_tokens: int
 ) -> int:
-    """How many tokens to ask the ledger for.
+    """How many tokens to request from the ledger.
 
     :param free_tokens: the account's free tokens in this entry's fold.
-    :param available_tokens: what this entry's grants still hold.
+    :param available_tokens: what can be reserved on this entry's grants.
     :param missing_tokens: what the waiting request needs beyond that.
-    :param usual_tokens: what a grant is as a rule.
-    :returns: a size no larger than ``free_tokens`` (0 means none can be had).
+    :param usual_tokens: the default size of a grant.
+    :returns: a size no larger than ``free_tokens``; 0 if nothing can be granted.
     """
     share = (available_tokens + free_tokens) // HELD_SHARE - available_tokens
     usual = min(usual_tokens, share)
@@ -234,10 +233,10 @@
 
 @attrs.frozen
 class Refill:
-    """What to ask for so that an account's requests can be covered.
+    """What to request so that an account's requests can be covered.
 
-    :ivar grant_tokens: the grant to ask the ledger for; 0 for none.
-    :ivar others_tokens: what other entries are asked to give back; 0 for none.
+    :ivar grant_tokens: size of the grant to request from the ledger; 0 for none.
+    :ivar others_tokens: tokens that other entries are asked to return; 0 for none.
     """
 
     grant_tokens: int = 0
@@ -252,16 +251,16 @@
     rate_tokens_per_s: float,
     policy: GrantPolicy,
 ) -> Refill:
-    """What to ask for when a request of ``cost_tokens`` comes in.
+    """What to request when a request of ``cost_tokens`` comes in.
 
-    An entry keeps enough in hand for ``cover_s`` of its own recent rate:
-    cut off from the ledger, it serves on from that. A grant is asked for
-    once half of it is used.
+    An entry holds enough for ``cover_s`` of its own recent rate, so that it can
+    serve while it is partitioned from the ledger. It requests a grant once half
+    of that is used.
 
-    :param available_tokens: what this entry's grants still hold.
+    :param available_tokens: what can be reserved on this entry's grants.
     :param free_tokens: the account's free tokens in this entry's fold.
-    :param elsewhere_tokens: what other entries' grants hold, in it.
-    :param rate_tokens_per_s: how fast this entry spends on the account.
+    :param elsewhere_tokens: tokens in other entries' grants, in this entry's fold.
+    :param rate_tokens_per_s: how fast this entry spends the account.
     """
     cover = int(rate_tokens_per_s * policy.cover_s)
     low_water = max(policy.low_water_tokens, cover // 2, cost_tokens)
@@ -284,30 +283,30 @@
     lease_s: float,
     now_s: float,
 ) -> list[GrantId]:
-    """Open grants that no process can be spending any more.
+    """Open grants that no process can spend any more.
 
-    A killed entry never settles: its idle tokens would stay locked away
-    from their account for good, and callers be refused a budget they paid
-    for. A grant is taken back when its holder is gone from the platform's
-    instance list and the whole lease has passed on *our* clock since we saw
-    the grant (the holder's lease began earlier, so it has ended whatever
-    its clock says), or when it was taken by an earlier life of this very
-    entry. Should the holder act on it all the same, the ledger's fold voids
-    its bills: the settled grant id is the fencing token.
+    A killed entry never settles its grants: their idle tokens would stay locked
+    for good, and clients would be refused a budget that they paid for. A grant
+    is reclaimed in either of two cases. Its holder is no longer in the platform's
+    instance list and the whole lease has passed on this entry's clock since it
+    folded the grant; the holder's lease began earlier, so it has ended whatever
+    the holder's clock says. Or an earlier run of this same entry took the grant.
+    If the holder uses the grant nevertheless, the ledger's fold voids its bills:
+    the settled grant id is the fencing token.
 
     :param first_seen_s: when this entry folded each grant.
-    :param gone: entries the platform lists as gone.
-    :param ended_boots: earlier lives of this entry, known at its start; not
-        every life but this one, or two that overlap in a replacement would
-        take each other's grants back in turn.
+    :param gone: entries that the platform lists as gone.
+    :param ended_boots: boot ids of earlier runs of this entry, known at its start.
+        Not all boot ids but the present one: two runs that overlap during a
+        replacement would reclaim each other's grants in turn.
     """
-    missing = set(gone)
+    departed = set(gone)
 
     def ended(grant: OpenGrant) -> bool:
         if grant.entry == me:
             return grant.boot_id in ended_boots
         seen_s = first_seen_s.get(grant.grant_id, now_s)
-        return grant.entry in missing and now_s - seen_s >= lease_s
+        return grant.entry in departed and now_s - seen_s >= lease_s
 
     return [grant_id for grant_id, grant in open_grants.items() if ended(grant)]
 
@@ -322,14 +321,14 @@
 ) -> Refusal:
     """Why a request that could not reserve ``cost_tokens`` is refused.
 
-    :param available_tokens: what this entry's grants still hold.
+    :param available_tokens: what can be reserved on this entry's grants.
     :param free_tokens: the account's free tokens in this entry's fold.
-    :param elsewhere_tokens: what other entries' open grants hold, in it.
-    :param ledger_reachable: whether the last ledger call got through.
+    :param elsewhere_tokens: tokens in other entries' open grants, in this fold.
+    :param ledger_reachable: whether the last ledger call succeeded.
     :returns: ``did_not_run`` in each case, since nothing was sent:
-        ``ledger_unreachable`` if no grant can be asked for now,
+        ``ledger_unreachable`` if no grant can be requested now,
         ``budget_exhausted`` if the whole budget cannot cover the cost, and
-        ``budget_held`` if other entries hold what is missing.
+        ``budget_held`` if other entries hold the missing tokens.
     """
     if not ledger_reachable:
         return did_not_run(
--- a/src/celerytrack/ledger.py
+++ b/src/celerytrack/ledger.py
@@ -1,29 +1,30 @@
 """The account ledger: a fold over the ``ledger`` stream of the platform log.
 
 Every change to an account is a record on the stream (a JSON object with a
-``type``), and the fold alone decides what each record did:
+``type``), and only the fold decides the effect of each record:
 
 - ``topup``: an operator adds ``tokens`` to an account's budget.
 - ``grant``: an entry moves ``tokens`` of an account into its escrow; void if
-  the account has not that much free at the record's place in the stream.
-- ``bills``: an entry charges finished requests to its grants; a request id
-  billed before is a duplicate and charges nothing, and a charge to a grant
-  that is closed is void (the grant id is the fencing token).
-- ``settle``: closes a grant, by its holder or, once the holder is gone, by
-  another entry; what no bill charged goes back to the account.
-- ``want``: an entry needs tokens that are not free; holders of idle grants
-  of the account answer by settling them. Totals do not change.
+  the account has fewer free tokens at the record's offset.
+- ``bills``: an entry charges finished requests to its grants. A request id that
+  was billed before is a duplicate and charges nothing; a charge to a closed
+  grant is void, since the grant id is the fencing token.
+- ``settle``: closes a grant, written by its holder or, once the holder is gone,
+  by another entry; uncharged tokens return to the account.
+- ``want``: an entry needs tokens that are not free; holders of idle grants of
+  the account settle them in response. Totals do not change.
 - ``intent``, ``finished``, ``abandoned``: the at-most-once record of a
   non-idempotent call; the first intent for an idempotency key owns it.
-- ``snapshot``: the whole fold at an offset, so readers survive retention.
-
-Because the fold decides, writers append without conditions and learn the
-outcome by folding their own record. Each entry numbers its records
-(``writer``, ``seq``); a record whose number was folded before is skipped, so
-a writer may append it again after a lost reply, even an hour later. All that
-recognises repeats is bounded by count and part of the snapshot: two readers
-at the same offset always agree, whether they folded the whole stream or
-started from a snapshot.
+- ``snapshot``: the whole fold at an offset, so that readers do not need the
+  records that retention has trimmed.
+
+Because the fold decides, writers append unconditionally and learn the outcome
+by folding their own record. Each entry numbers its records (``writer``,
+``seq``). A record whose number was folded before is skipped, so a writer may
+append it again after a lost reply, even an hour later. All state for
+deduplication is bounded by count and part of the snapshot: two readers at the
+same offset always agree, whether they folded the whole stream or started from
+a snapshot.
 """
 
 import enum
@@ -37,26 +38,26 @@
 from celerytrack.ids import AccountId, EntryId, GrantId, RequestId
 
 REMEMBERED = 20_000
-"""Request ids and top-up ids kept: the window in which a caller's retry at
+"""Request ids and top-up ids that are kept: the window in which a client's retry at
 another entry is recognised (71 s at 281 requests/s, 8 min at 40/s)."""
 REMEMBERED_INTENTS = 10_000
-"""Intents of non-idempotent calls kept, with their answers."""
+"""Intents of non-idempotent calls that are kept, with their responses."""
 REMEMBERED_WRITERS = 5_000
 """Entry processes whose last sequence number is kept."""
 
 
 class BillOutcome(enum.Enum):
-    """What the fold made of one bill."""
+    """The effect of one bill in the fold."""
 
     CHARGED = "charged"
     DUPLICATE = "duplicate"
-    """The request id was billed before: nothing is charged again."""
+    """The request id was billed before: nothing is charged."""
     VOID = "void"
-    """A grant it names is closed or too small: nothing is charged."""
+    """A named grant is closed or too small: nothing is charged."""
 
 
 class IntentState(enum.Enum):
-    """How far a non-idempotent call is known to have got."""
+    """The known progress of a non-idempotent call."""
 
     STARTED = "started"
     FINISHED = "finished"
@@ -76,17 +77,17 @@
 
     @property
     def tokens(self) -> int:
-        """The total charged, in tokens."""
+        """The total charge."""
         return sum(n for _, n in self.charges)
 
     def to_json(self) -> list[Any]:
-        """The bill as it stands in a ``bills`` record."""
+        """The bill's form in a ``bills`` record."""
         charges = [[g, n] for g, n in self.charges]
         return [self.request_id, self.account, self.work_class, charges]
 
     @classmethod
     def from_json(cls, item: list[Any]) -> "Bill":
-        """The bill that :meth:`to_json` wrote."""
+        """The bill that :meth:`to_json` encoded."""
         request_id, account, work_class, charges = item
         pairs = tuple((GrantId(g), int(n)) for g, n in charges)
         return cls(RequestId(request_id), AccountId(account), work_class, pairs)
@@ -96,8 +97,8 @@
 class AccountLedger:
     """One account's totals, in tokens.
 
-    ``budget_tokens = free_tokens + open_tokens + spent_tokens`` always
-    holds; ``open_tokens`` counts what open grants hold and no bill charged.
+    Invariant: ``budget_tokens = free_tokens + open_tokens + spent_tokens``.
+    ``open_tokens`` counts the uncharged tokens of open grants.
     """
 
     budget_tokens: int = 0
@@ -106,7 +107,7 @@
 
     @property
     def free_tokens(self) -> int:
-        """Tokens not granted to any entry."""
+        """Tokens that are not granted to any entry."""
         return self.budget_tokens - self.open_tokens - self.spent_tokens
 
 
@@ -114,8 +115,8 @@
 class OpenGrant:
     """A grant that is not settled yet.
 
-    :ivar boot_id: the life of the entry process that took it.
-    :ivar spent_tokens: charged to it by bills so far.
+    :ivar boot_id: the run of the entry process that took it.
+    :ivar spent_tokens: charged by bills so far.
     """
 
     grant_id: GrantId
@@ -127,7 +128,7 @@
 
     @property
     def left_tokens(self) -> int:
-        """Tokens no bill has charged yet."""
+        """Tokens that no bill has charged yet."""
         return self.tokens - self.spent_tokens
 
 
@@ -135,7 +136,7 @@
 class Intent:
     """The record of a non-idempotent call.
 
-    :ivar claim_id: which attempt owns the call.
+    :ivar claim_id: the attempt that owns the call.
     """
 
     claim_id: str
@@ -168,10 +169,10 @@
         return self.accounts.setdefault(account, AccountLedger())
 
     def apply(self, offset: int, record: Mapping[str, Any]) -> list[BillOutcome]:
-        """Fold one record found at ``offset``; unknown types are skipped.
+        """Fold the record at ``offset``; unknown types are skipped.
 
-        A record below :attr:`next_offset` was folded already and is skipped,
-        so a reader may see the same offsets twice (a catch-up and a tail).
+        A record below :attr:`next_offset` is already folded and is skipped, so a
+        reader may pass the same offsets twice, from a catch-up and from a tail.
 
         :returns: for a ``bills`` record, each bill's outcome in order.
         """
@@ -226,9 +227,9 @@
         }
 
     def _is_repeat(self, record: Mapping[str, Any]) -> bool:
-        # The log may take an append whose reply is lost, so the writer sends
-        # it again: without the number, a grant would be held twice and a
-        # settled grant could open again.
+        # A writer repeats an append whose reply was lost, though the log may have
+        # taken it. Without the number, a grant would be held twice and a settled
+        # grant could be opened again.
         writer = record.get("writer")
         if writer is None:
             return False
@@ -242,8 +243,8 @@
         return False
 
     def _topup(self, record: Mapping[str, Any]) -> None:
-        # A topup whose reply was lost may be appended twice by a retrying
-        # operator; the topup id makes the second one a no-op.
+        # An operator may repeat a top-up whose reply was lost; the top-up id makes
+        # the second record a no-op.
         if self.topups.add(str(record["topup_id"])):
             totals = self.account(AccountId(record["account"]))
             totals.budget_tokens += int(record["tokens"])
@@ -252,9 +253,9 @@
         grant_id = GrantId(record["grant_id"])
         account = AccountId(record["account"])
         tokens = int(record["tokens"])
-        # Two entries that saw the same free tokens may both ask for them:
-        # the second grant in the stream does not fit and is void here, in
-        # every reader's fold, so tokens are never handed out twice.
+        # Two entries that saw the same free tokens may both request them. The
+        # second grant in the stream does not fit and is void in every reader's
+        # fold, so tokens are never granted twice.
         if grant_id in self.grants or not self.fits(account, tokens):
             return
         self.grants[grant_id] = OpenGrant(
@@ -263,16 +264,16 @@
         self.account(account).open_tokens += tokens
 
     def _bill(self, bill: Bill) -> BillOutcome:
-        # The same request may be billed by two entries (its caller retried
-        # elsewhere after the first entry's answer was cut) or appended twice
-        # (a lost reply): only the first bill in the stream charges.
+        # A request may be billed by two entries, when its client retried at
+        # another one after the first entry's response broke off, or appended
+        # twice after a lost reply. Only the first bill in the stream charges.
         if bill.request_id in self.billed:
             return BillOutcome.DUPLICATE
         for grant_id, tokens in bill.charges:
             grant = self.grants.get(grant_id)
-            # A holder that was paused past its lease may bill a grant that
-            # was settled for it meanwhile and granted to others: charging it
-            # would overrun the budget, so the whole bill is void.
+            # A holder that was paused beyond its lease may bill a grant that was
+            # reclaimed meanwhile and whose tokens were granted to others.
+            # Charging it would exceed the budget, so the whole bill is void.
             if (
                 grant is None
                 or grant.account != bill.account
@@ -305,8 +306,8 @@
                         claim_id, IntentState.FINISHED, record.get("answer")
                     )
             case "abandoned":
-                # Only the owner gives a call up, and only when it was never
-                # sent: a stray copy must not free a call that ran since.
+                # Only the owner abandons a call, and only one that was never sent:
+                # a late copy of the record must not free a call that ran since.
                 if known == Intent(claim_id):
                     del self.intents[key]
         while len(self.intents) > REMEMBERED_INTENTS:
