--- a/src/celerytrack/_started.py
+++ b/src/celerytrack/_started.py
@@ -1,7 +1,7 @@
-"""When this process began. Imported before everything else."""
+"""The start time of this process; imported before everything else."""
 
 import time
 
 STARTED_S = time.monotonic()
-"""When this process began, on the steady clock, as near as can be told: before
-the libraries are loaded, which takes half a second on a small instance."""
+"""When this process started, on the monotonic clock. Read before the libraries are
+loaded, which takes half a second on a small instance."""
--- a/src/celerytrack/eras.py
+++ b/src/celerytrack/eras.py
@@ -1,9 +1,9 @@
-"""Which history of the log an answer belongs to, without I/O.
+"""Which history of the log a reply belongs to, without I/O.
 
-A log that comes back from an older copy has lost what it had acknowledged since, and
-gives out the same offsets again. Its *era* rises each time. What an entry read or wrote
-in one era says nothing of the next: it reads anew, and an answer of the era before must
-not be taken after one of the new era.
+A log that is restored from an older backup has lost the records that it acknowledged
+since, and assigns the same offsets again. Its *era* rises with each restore. What an
+entry read or wrote in one era is not valid in the next: it reads the log again, and
+ignores a reply of an earlier era that arrives after one of the new era.
 """
 
 import enum
@@ -15,25 +15,25 @@
 Era = NewType("Era", int)
 
 REWRITTEN_S = 2.0
-"""How long after its return others have written again what the log lost of theirs."""
+"""Time after a restore within which others rewrite their records that the log lost."""
 
 
 class EraNews(enum.Enum):
-    """What the era of an answer tells."""
+    """What the era of a reply means."""
 
     SAME = "same"
-    """The era known, or none known yet."""
+    """The known era, or no era is known yet."""
     CHANGED = "changed"
-    """The log came back from a copy; the answer belongs to its new history."""
+    """The log was restored from a backup; the reply belongs to the new history."""
     LATE = "late"
-    """The answer is of an earlier history, or may be: it counts for nothing."""
+    """The reply is or may be of an earlier history and must be ignored."""
 
 
 @attrs.frozen
 class EraChange:
-    """The log came back from a copy.
+    """A restore of the log from an older backup.
 
-    :ivar seen_at_s: when an answer first told so.
+    :ivar seen_at_s: when a reply first showed it.
     """
 
     old: Era
@@ -42,64 +42,65 @@
 
     @property
     def expected(self) -> bool:
-        """Whether the era rose by one, as it does when the log comes back."""
+        """Whether the era rose by one, as it does with a restore."""
         return self.new == self.old + 1
 
 
 class EraWatch:
-    """The era of the log as its answers tell it.
+    """The era of the log, learned from its replies.
 
-    :ivar known: the newest era that an answer told; ``None`` while none did.
-    :ivar changes: how often it changed. Taken at the start of a call, it tells whether
-        the log came back from a copy while the call was on its way.
+    :ivar known: the era of the latest valid reply; ``None`` before the first.
+    :ivar changes: how often the era changed. Its value at the start of a call shows
+        whether the log was restored while the call was in flight.
     """
 
     def __init__(self) -> None:
         self.known: Era | None = None
         self.changes = 0
-        self._returned_s = float("-inf")
+        self._restored_s = float("-inf")
         self._listeners: list[Callable[[EraChange], None]] = []
 
     def on_change(self, listener: Callable[[EraChange], None]) -> None:
-        """Have ``listener`` told of each change, before the answer that tells it."""
+        """Call ``listener`` on each change, before the reply that shows it is used."""
         self._listeners.append(listener)
 
-    def take(self, era: Era | None, asked_at: int, now_s: float) -> EraNews:
-        """Take the era of an answer.
+    def take(self, era: Era | None, changes_at_call: int, now_s: float) -> EraNews:
+        """Classify a reply by its era.
 
-        :param era: ``None`` if the answer does not tell.
-        :param asked_at: ``changes`` when the call was made.
+        :param era: ``None`` if the reply has none.
+        :param changes_at_call: the value of ``changes`` when the call was made.
         """
-        overtaken = asked_at != self.changes
+        restored_since = changes_at_call != self.changes
         if era is None:
-            return EraNews.LATE if overtaken else EraNews.SAME
+            return EraNews.LATE if restored_since else EraNews.SAME
         if self.known is None or era == self.known:
             self.known = era
             return EraNews.SAME
-        if era < self.known and overtaken:
+        if era < self.known and restored_since:
             return EraNews.LATE
-        # An era that falls in answer to a call of now is no late answer: the log is
-        # not the one it was, whatever it counts.
+        # A lower era in reply to a call made after the last change is not a late
+        # reply: the log is another one, whatever its numbering.
         change = EraChange(self.known, era, now_s)
         self.known = era
         self.changes += 1
-        self._tell(change)
+        self._notify(change)
         return EraNews.CHANGED
 
     def learn(self, written: Era, now_s: float) -> None:
-        """What a start reads was written in an earlier era, so that the log may have
-        come back just before.
+        """Report a restore that may have happened just before this process started.
 
-        :param written: the newest era in which that was written.
+        Called when the records read at the start were written in an earlier era.
+
+        :param written: the newest era in which these records were written.
         """
         assert self.known is not None
-        self._tell(EraChange(written, self.known, now_s))
+        self._notify(EraChange(written, self.known, now_s))
 
-    def _tell(self, change: EraChange) -> None:
-        self._returned_s = change.seen_at_s
+    def _notify(self, change: EraChange) -> None:
+        self._restored_s = change.seen_at_s
         for listener in self._listeners:
             listener(change)
 
     def rewritten(self, at_s: float) -> bool:
-        """Whether what was read at ``at_s`` holds what the log lost of others."""
-        return at_s >= self._returned_s + REWRITTEN_S
+        """Whether a read at ``at_s`` includes the lost records, rewritten by others."""
+        return at_s >= self._restored_s + REWRITTEN_S
--- a/src/celerytrack/restored_records.py
+++ b/src/celerytrack/restored_records.py
@@ -1,4 +1,4 @@
-"""Registrations on a log that came back from an older copy, without I/O."""
+"""Registrations after the log is restored from an older backup, without I/O."""
 
 from collections.abc import Set
 
@@ -8,10 +8,10 @@
 
 
 class RestoredRecords:
-    """Which registrations on the copy are over, and which are missing there.
+    """Which registrations in the backup are outdated, and which it lacks.
 
-    Endpoints write theirs again. Until then the copy tells of some that have left as
-    if they had not, and of others nothing.
+    Endpoints write their registrations again. Until then, the log lists some endpoints
+    that have left as registered, and lacks others.
     """
 
     def __init__(self) -> None:
@@ -19,14 +19,14 @@
         self._missing_since_s: dict[EndpointId, float] = {}
 
     def came_back(self, gone: Set[EndpointId]) -> None:
-        """The log came back from a copy.
+        """Begin anew: the log was restored from an older backup.
 
         :param gone: the endpoints known to have left.
         """
         self._left = set(gone)
 
     def outdated(self, registration: Registration, last: Registration) -> bool:
-        """Whether ``registration`` says nothing that was not over before.
+        """Whether ``registration`` was already superseded before the restore.
 
         :param last: the last record read of the same endpoint.
         """
@@ -37,16 +37,16 @@
         return not last.older_than(registration)
 
     def written(self, endpoint_id: EndpointId) -> None:
-        """The endpoint has written its registration."""
+        """Record that the endpoint has written its registration again."""
         self._left.discard(endpoint_id)
         self._missing_since_s.pop(endpoint_id, None)
 
     def missing(self, endpoint_id: EndpointId, now_s: float) -> None:
-        """The registration is not on the copy: it is kept for now."""
+        """Record that the log lacks the registration; it is retained for now."""
         self._missing_since_s.setdefault(endpoint_id, now_s)
 
     def take_gone(self, now_s: float) -> list[EndpointId]:
-        """Those that were missing and were not written again in time; once each."""
+        """The missing endpoints that were not written again in time; each once."""
         since_s = self._missing_since_s
         gone = [i for i, at_s in since_s.items() if now_s - at_s >= REWRITTEN_S]
         for endpoint_id in gone:
