--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""Tables for the era of the log: what each answer tells, and what is held to."""
+"""Table tests of the log's era: replies, claims and registrations after a restore."""
 
 import random
 import unittest
@@ -25,62 +25,62 @@
 
 class EraWatchTest(unittest.TestCase):
     @params(
-        # What each answer tells in turn: its era, the changes known when the call was
-        # made, and what it counts as.
+        # Each reply in turn: its era, the changes known when the call was made, and
+        # the expected status.
         [(1, 0, SAME), (1, 0, SAME)],
         [(1, 0, SAME), (2, 0, CHANGED), (2, 0, SAME), (1, 0, LATE), (2, 1, SAME)],
         [(1, 0, SAME), (2, 0, CHANGED), (3, 0, CHANGED), (2, 0, LATE), (3, 1, SAME)],
         [(1, 0, SAME), (2, 0, CHANGED), (3, 1, CHANGED), (2, 1, LATE), (3, 2, SAME)],
-        # It jumps.
+        # The era jumps.
         [(1, 0, SAME), (7, 0, CHANGED), (7, 1, SAME), (1, 0, LATE)],
-        # It falls: in answer to a call of now it is another log.
+        # The era falls in reply to a recent call: it is another log.
         [(5, 0, SAME), (4, 0, CHANGED), (4, 1, SAME)],
         [(5, 0, SAME), (6, 0, CHANGED), (5, 1, CHANGED), (6, 1, CHANGED)],
-        # It is missing, always or in some answers.
+        # The era is missing, always or in some replies.
         [(None, 0, SAME), (None, 0, SAME)],
         [(None, 0, SAME), (3, 0, SAME), (None, 0, SAME), (3, 0, SAME)],
         [(1, 0, SAME), (2, 0, CHANGED), (None, 0, LATE), (None, 1, SAME)],
     )
-    def test_what_answers_tell(self, answers):
-        """An answer of the era before is applied after one of the new era."""
+    def test_status_of_replies(self, replies):
+        """Guards against a reply of an earlier era applied after one of the new era."""
         watch = EraWatch()
-        for era, asked_at, news in answers:
-            self.assertIs(watch.take(era, asked_at, 0.0), news, (era, asked_at))
+        for era, changes, status in replies:
+            self.assertIs(watch.take(era, changes, 0.0), status, (era, changes))
 
     @params((1, 2, True), (1, 3, False), (2, 1, False))
-    def test_listeners_are_told_first(self, old, new, expected):
+    def test_listeners_are_notified_first(self, old, new, expected):
         watch = EraWatch()
-        told = []
-        watch.on_change(told.append)
+        changes = []
+        watch.on_change(changes.append)
         watch.take(Era(old), 0, 1.0)
         watch.take(Era(new), 0, 2.0)
-        (change,) = told
+        (change,) = changes
         self.assertEqual((change.old, change.new, change.seen_at_s), (old, new, 2.0))
         self.assertIs(change.expected, expected)
         self.assertFalse(watch.rewritten(2.0 + REWRITTEN_S / 2))
         self.assertTrue(watch.rewritten(2.0 + REWRITTEN_S))
 
     @params("", "x", "-1", "1.5", " 2", "+2", "0x1", "²", "9" * 40)
-    def test_what_is_no_number_is_refused(self, value):
+    def test_an_era_that_is_no_number_is_rejected(self, value):
         with self.assertRaises(UnreadableError):
             decode_era(value)
 
     @params((None, None), ("0", 0), ("17", 17))
-    def test_numbers_are_taken(self, value, era):
+    def test_numeric_eras_are_decoded(self, value, era):
         self.assertEqual(decode_era(value), era)
 
 
-def _book(claimed=30_000, mine=10_000):
-    """A book in which another entry claims much, and this one has a row of ``OLD``."""
+def _book(claimed=30_000, own=10_000):
+    """Budgets with a large claim of a peer and a row of this entry, both of ``OLD``."""
     book = PrepaidBook(ME)
     book.set_totals({A: TOTAL})
     book.fold(PEER, {A: Row(claimed, 5_000, 2_000)}, OLD)
-    book.fold(ME, {A: Row(mine, mine)}, OLD)
+    book.fold(ME, {A: Row(own, own)}, OLD)
     return book
 
 
 def _write(book, era, now_s):
-    """A row of this entry, made in ``era``."""
+    """Write a row of this entry, made in ``era``."""
     book.plan(2, now_s)
     row = book.next_row(now_s)
     book.fold(ME, row, era)
@@ -90,35 +90,35 @@
 
 class RestoreGuardTest(unittest.TestCase):
     @params(
-        # The row of the copy, its era, and what counts.
+        # The row in the backup, its era, and the claim that counts.
         ({A: Row(8_000, 8_000, 1_000)}, OLD, 30_000),
         ({A: Row(50_000, 8_000, 1_000)}, OLD, 50_000),
         ({A: Row(8_000, 8_000, 1_000)}, None, 30_000),
         ({}, None, 30_000),
         ({A: Row(8_000, 8_000, 1_000)}, NEW, 8_000),
     )
-    def test_claims_fall_by_their_owner_only(self, row, era, counts):
-        """A copy lacks a claim, and its tokens are spent twice."""
+    def test_only_its_owner_lowers_a_claim(self, row, era, counts):
+        """Guards against spending the tokens of a claim twice that the backup lacks."""
         book = _book()
         book.rose(NEW, {PEER}, 0.0)
         book.fold(PEER, row, era)
         self.assertEqual(book.rows.claimed_tokens(A) - 10_000, counts)
 
-    def test_an_entry_missing_on_the_copy_keeps_its_claim(self):
+    def test_the_claim_of_an_entry_missing_in_the_backup_still_counts(self):
         book = _book()
         book.rose(NEW, {PEER}, 0.0)
         book.keep_only({ME})
         self.assertEqual(book.rows.claimed_tokens(A), 40_000)
 
     @params(
-        # Who writes in the new era, when this is looked at, whether it may take more.
+        # Entries that write in the new era, time of the check, whether allowances rise.
         ((), 1.0, False),
         ((PEER,), 1.0, False),
         ((PEER, THIRD), 1.0, True),
         ((PEER,), HOLD_S, True),
     )
-    def test_nothing_more_is_taken_until_all_have_written(self, writers, at_s, takes):
-        """Room that appeared by the loss of a claim is claimed and spent."""
+    def test_no_allowance_rises_until_all_have_written(self, writers, at_s, rises):
+        """Guards against claiming tokens that seem free because a claim was lost."""
         book = _book()
         book.fold(THIRD, {A: Row(1_000, 1_000)}, OLD)
         book.rose(NEW, {PEER, THIRD}, 0.0)
@@ -128,11 +128,11 @@
             book.fold(writer, {A: Row(1_000, 1_000)}, NEW)
         book.want(A, 20_000)
         _write(book, NEW, at_s)
-        self.assertEqual(book._share(A).accepted_tokens > before, takes)
+        self.assertEqual(book._share(A).accepted_tokens > before, rises)
 
-    def test_a_row_of_before_does_not_end_the_hold(self):
-        """An append of the old era that lands late in the new one tells an older
-        claim than its owner has."""
+    def test_a_row_of_the_old_era_does_not_end_the_hold(self):
+        """An append of the old era that lands late, in the new one, has an older claim
+        than its owner."""
         book = _book()
         book.rose(NEW, {PEER}, 0.0)
         book.fold(PEER, {A: Row(1_000, 1_000)}, OLD)
@@ -140,8 +140,8 @@
         self.assertTrue(book.guard.holding)
         self.assertEqual(book.rows.claimed_tokens(A), 30_000)
 
-    def test_what_may_be_spent_stays_so(self):
-        """The log's return takes what a plain outage would have left."""
+    def test_allowances_survive_a_restore(self):
+        """Guards against a restore that takes tokens that an outage would leave."""
         book = _book()
         _write(book, OLD, 0.0)
         left = book.left_tokens(A, 0.5)
@@ -150,25 +150,25 @@
         book.fold(ME, {}, None)
         self.assertEqual(book.left_tokens(A, 0.5), left)
 
-    def test_a_gift_stays_accounted(self):
+    def test_transfers_stay_accounted(self):
         book = _book()
         _write(book, OLD, 0.0)
-        given = book.give(A, 100, 0.5)
+        moved = book.give(A, 100, 0.5)
         book.receive(A, 40)
         floor = book._share(A).floor_tokens
         book.rose(NEW, {PEER}, 0.5)
         row = _write(book, NEW, 1.0)
-        self.assertEqual((given, book._share(A).floor_tokens), (100, floor))
+        self.assertEqual((moved, book._share(A).floor_tokens), (100, floor))
         self.assertGreaterEqual(row[A].claimed_tokens, floor)
 
-    def test_without_a_row_of_its_own_it_takes_nothing(self):
-        """The bound passes while this entry's own row is nowhere on the log."""
+    def test_the_hold_lasts_until_the_own_row_is_on_the_log(self):
+        """The time limit passes while this entry's own row is not on the log."""
         book = _book()
         book.rose(NEW, {PEER}, 0.0)
         book.plan(2, 2 * HOLD_S)
         self.assertTrue(book.guard.holding)
 
-    def test_another_restore_begins_anew(self):
+    def test_another_restore_begins_a_new_hold(self):
         book = _book()
         book.rose(NEW, {PEER}, 0.0)
         book.fold(PEER, {A: Row(40_000, 1_000)}, NEW)
@@ -178,7 +178,7 @@
         _write(book, NEWER, 1.0)
         self.assertTrue(book.guard.holding)
 
-    def test_who_leaves_returns_what_it_has_not_spent(self):
+    def test_a_leaving_entry_returns_unspent_tokens_during_a_hold(self):
         book = _book()
         _write(book, OLD, 0.0)
         book.rose(NEW, {PEER}, 0.5)
@@ -195,7 +195,7 @@
 
 class OlderRowTest(unittest.TestCase):
     @params(
-        # What was known, what the copy holds, whether that is taken.
+        # The known row, the row in the backup, whether the latter replaces it.
         ({}, {"made_s": 9.0}, False),
         ({}, {"made_s": 10.0}, True),
         ({}, {"made_s": 11.0}, True),
@@ -203,14 +203,14 @@
         ({"epoch": 3, "started_s": 5.0, "era": NEW}, {"epoch": 9}, False),
         ({"epoch": 9, "era": OLD}, {"epoch": 2, "started_s": 5.0, "era": NEW}, True),
     )
-    def test_only_a_newer_row_replaces_another(self, known, read, taken):
-        """An entry that leaves is told to callers again, from the copy."""
+    def test_only_a_newer_row_replaces_another(self, known, read, replaced):
+        """Guards against announcing a leaving entry to clients, from its old row."""
         view = MemberView(ME)
         view.fold(_member(**known, state=MemberState.LEAVING), 0.0)
         view.fold(_member(**read), 1.0)
-        self.assertIs(view.member(PEER).state is MemberState.SERVING, taken)
+        self.assertIs(view.member(PEER).state is MemberState.SERVING, replaced)
 
-    def test_a_row_carries_its_era(self):
+    def test_a_row_round_trips_its_era(self):
         for era in (None, NEW):
             member = _member(era=era)
             self.assertEqual(decode_member(PEER, encode_member(member)).era, era)
@@ -222,7 +222,7 @@
     return Registration(endpoint_id, service, "h:1", Zone("z"), 8, draining, **numbers)
 
 
-class RegistrationOfACopyTest(unittest.TestCase):
+class RestoredRegistrationTest(unittest.TestCase):
     def _left(self, forgotten):
         book = EndpointBook(Zone("z"), random.Random(1))
         book.register(_registration(5), 0.0)
@@ -232,7 +232,7 @@
         return book
 
     @params(
-        # Whether it is forgotten by then, the record of the copy, what it counts as.
+        # Whether the endpoint is forgotten, the record in the backup, the result.
         (False, _registration(5), Registered.STALE),
         (False, _registration(4), Registered.STALE),
         (False, _registration(6), Registered.SAME),
@@ -240,20 +240,23 @@
         (True, _registration(6), Registered.NEW),
         (True, _registration(1, born_ms=2), Registered.NEW),
     )
-    def test_who_left_comes_back_by_a_newer_record(self, forgotten, record, took):
-        """The copy holds the last record of an endpoint that left, and it gets work."""
+    def test_only_a_newer_record_registers_a_departed_endpoint(
+        self, forgotten, record, result
+    ):
+        """Guards against sending requests to an endpoint that left, because the backup
+        holds its last record."""
         book = self._left(forgotten)
         book.restored()
-        self.assertIs(book.register(record, 2.0), took)
-        stands = book.ids() == [EndpointId("e")]
-        self.assertIs(stands, took is not Registered.STALE)
+        self.assertIs(book.register(record, 2.0), result)
+        registered = book.ids() == [EndpointId("e")]
+        self.assertIs(registered, result is not Registered.STALE)
 
-    def test_a_record_that_lapsed_is_back_as_it_was_without_a_restore(self):
+    def test_without_a_restore_a_lapsed_record_is_unchanged_when_it_returns(self):
         self.assertIs(
             self._left(False).register(_registration(5), 2.0), Registered.SAME
         )
 
-    def test_what_is_missing_is_gone_after_its_time(self):
+    def test_missing_registrations_expire(self):
         book = EndpointBook(Zone("z"), random.Random(1))
         book.restores.missing(EndpointId("e"), 1.0)
         book.restores.missing(EndpointId("f"), 1.0)
--- a/tests/test_escrow_model.py
+++ b/tests/test_escrow_model.py
@@ -1,14 +1,14 @@
 """Randomised model-based runs of the escrow over a modelled log.
 
 Several entries share one ledger stream. Each step is an operator top-up, a
-grant asked, a request served and billed (by callers who also retry at other
-entries), a lost reply (the record is appended again), a partition or heal,
-time passing past leases, a settle, a crash, or a grant taken back from a
-holder that may still be alive. Invariants are asserted after every step.
-
-A naive variant, in which an entry spends a grant as soon as the log took the
-record and answers without the ledger's word on the bill, must be caught: the
-test of the checker itself.
+requested grant, a request served and billed (for clients that also retry at
+other entries), a lost reply (the record is appended again), a partition or heal,
+time passing beyond leases, a settle, a crash, or a grant reclaimed from a holder
+that may still be alive. Invariants are asserted after every step.
+
+To test the checker, a naive variant must be caught: its entries spend a grant as
+soon as the log took the record, and respond before the ledger's outcome of the
+bill is known.
 """
 
 import unittest
@@ -32,14 +32,14 @@
 ACCOUNTS = [AccountId("a"), AccountId("b")]
 ENTRIES = [EntryId(f"e{i}") for i in range(3)]
 REQUESTS = [RequestId(f"r{i}") for i in range(6)]
-"""Few ids, so that callers' retries at other entries are common."""
+"""Few ids, so that clients' retries at other entries are common."""
 LEASE_S = 10.0
 MAX_TOPUPS = 4
-"""Top-ups are rare beside requests, so budgets are often nearly spent."""
+"""Fewer top-ups than requests, so that budgets are often nearly spent."""
 
 
 class _Process:
-    """One life of one entry: its fold, its escrow and its writer."""
+    """One run of one entry: its fold, its escrow and its writer."""
 
     def __init__(self, entry: EntryId, boot: int) -> None:
         self.entry = entry
@@ -47,7 +47,7 @@
         self.fold = Ledger()
         self.book = EscrowBook(entry)
         self.seq = 0
-        self.asked: dict[str, HeldGrant] = {}
+        self.requested: dict[str, HeldGrant] = {}
         self.bills: dict[int, Bill] = {}
 
     def record(self, record: dict[str, object]) -> dict[str, object]:
@@ -59,7 +59,7 @@
 class EscrowMachine(RuleBasedStateMachine):
     """Entries, a ledger log, partitions, crashes and time."""
 
-    waits_for_the_fold = True
+    waits_for_fold = True
 
     def __init__(self) -> None:
         super().__init__()
@@ -67,11 +67,11 @@
         self.late: list[dict[str, object]] = []
         self.boots = 0
         self.processes = {e: self._start(e) for e in ENTRIES}
-        self.cut: set[EntryId] = set()
+        self.partitioned: set[EntryId] = set()
         self.now_s = 0.0
         self.completed = dict.fromkeys(ACCOUNTS, 0)
         self.charged: dict[RequestId, int] = {}
-        self.truth = Ledger()
+        self.reference = Ledger()
         self.topups = 0
 
     def _start(self, entry: EntryId) -> _Process:
@@ -79,8 +79,8 @@
         return _Process(entry, self.boots)
 
     def _append(self, process: _Process, record: dict[str, object], copies: int):
-        """Append; a second copy is a retry after a lost reply, and the log
-        may take it long after."""
+        """Append a record. Further copies are retries after a lost reply, which the log
+        may take much later."""
         numbered = process.record(record)
         self.log.append(numbered)
         self.late += [numbered] * (copies - 1)
@@ -91,7 +91,7 @@
             outcomes = process.fold.apply(offset, record)
             if record.get("writer") != f"{process.entry}/{process.boot_id}":
                 continue
-            held = process.asked.pop(str(record.get("grant_id")), None)
+            held = process.requested.pop(str(record.get("grant_id")), None)
             if held is not None and held.grant_id in process.fold.grants:
                 process.book.add(held)
             bill = process.bills.pop(int(str(record["seq"])), None)
@@ -118,7 +118,7 @@
 
     @rule(entry=st.sampled_from(ENTRIES), lag=st.integers(0, 3))
     def read(self, entry: EntryId, lag: int) -> None:
-        if entry not in self.cut:
+        if entry not in self.partitioned:
             self._fold(self.processes[entry], max(len(self.log) - lag, 0))
 
     @rule(
@@ -126,7 +126,7 @@
         account=st.sampled_from(ACCOUNTS),
         tokens=st.sampled_from([60, 120]),
         copies=st.integers(1, 2),
-        fresh=st.booleans(),
+        reads_at_once=st.booleans(),
     )
     def grant(
         self,
@@ -134,16 +134,16 @@
         account: AccountId,
         tokens: int,
         copies: int = 1,
-        fresh: bool = False,
+        reads_at_once: bool = False,
     ) -> None:
         process = self.processes[entry]
         size = min(tokens, process.fold.account(account).free_tokens)
-        if entry in self.cut or size <= 0:
+        if entry in self.partitioned or size <= 0:
             return
         grant_id = process.book.new_grant_id(process.boot_id)
         held = HeldGrant(grant_id, account, size, self.now_s + LEASE_S)
-        if self.waits_for_the_fold:
-            process.asked[grant_id] = held
+        if self.waits_for_fold:
+            process.requested[grant_id] = held
         else:
             process.book.add(held)
         record = {
@@ -155,7 +155,7 @@
             "tokens": size,
         }
         self._append(process, record, copies)
-        if fresh:
+        if reads_at_once:
             self.read(entry, 0)
 
     @rule(
@@ -173,15 +173,15 @@
         request: RequestId,
         copies: int = 1,
     ) -> None:
-        # Every request spends all it reserved: the worst case for overspend.
+        # Every request spends its whole reservation, the worst case for overspend.
         process = self.processes[entry]
         reservation = process.book.reserve(request, account, tokens, self.now_s)
         if reservation is None:
             return
         charges = process.book.commit(reservation, tokens)
-        if not self.waits_for_the_fold:
+        if not self.waits_for_fold:
             self.completed[account] += tokens
-        if entry in self.cut:
+        if entry in self.partitioned:
             return
         bill = Bill(RequestId(f"{account}-{request}"), account, "c", charges)
         self._append(process, {"type": "bills", "bills": [bill.to_json()]}, copies)
@@ -194,11 +194,11 @@
 
     @rule(entry=st.sampled_from(ENTRIES))
     def partition(self, entry: EntryId) -> None:
-        self.cut.add(entry)
+        self.partitioned.add(entry)
 
     @rule()
     def heal(self) -> None:
-        self.cut.clear()
+        self.partitioned.clear()
 
     @rule(entry=st.sampled_from(ENTRIES))
     def crash(self, entry: EntryId) -> None:
@@ -211,7 +211,7 @@
     @rule(entry=st.sampled_from(ENTRIES), copies=st.integers(1, 2))
     def settle(self, entry: EntryId, copies: int) -> None:
         process = self.processes[entry]
-        if entry in self.cut:
+        if entry in self.partitioned:
             return
         for grant in process.book.settleable(self.now_s):
             process.book.forget(grant.grant_id)
@@ -220,10 +220,10 @@
             )
 
     @rule(entry=st.sampled_from(ENTRIES))
-    def take_back(self, entry: EntryId) -> None:
-        """Settle another's grant, though its holder may be only paused."""
+    def reclaim(self, entry: EntryId) -> None:
+        """Settle another entry's grant, though its holder may only be paused."""
         process = self.processes[entry]
-        if entry in self.cut:
+        if entry in self.partitioned:
             return
         for grant in process.fold.grants.values():
             if grant.entry != entry:
@@ -232,18 +232,18 @@
 
     @invariant()
     def spend_never_exceeds_budget(self) -> None:
-        for offset in range(self.truth.next_offset, len(self.log)):
+        for offset in range(self.reference.next_offset, len(self.log)):
             record = self.log[offset]
-            outcomes = self.truth.apply(offset, record)
+            outcomes = self.reference.apply(offset, record)
             for item, outcome in zip(record.get("bills", ()), outcomes, strict=False):
                 if outcome is BillOutcome.CHARGED:
                     bill = Bill.from_json(item)
                     assert bill.request_id not in self.charged, "billed twice"
                     self.charged[bill.request_id] = bill.tokens
-                    if self.waits_for_the_fold:
+                    if self.waits_for_fold:
                         self.completed[bill.account] += bill.tokens
         for account in ACCOUNTS:
-            totals = self.truth.account(account)
+            totals = self.reference.account(account)
             assert totals.free_tokens >= 0 and totals.open_tokens >= 0
             assert self.completed[account] <= totals.budget_tokens, account
 
@@ -261,7 +261,7 @@
 
 
 class NaiveEscrowMachine(EscrowMachine):
-    waits_for_the_fold = False
+    waits_for_fold = False
 
 
 _SETTINGS = settings(
@@ -275,16 +275,15 @@
 
 
 class EscrowModelTest(unittest.TestCase):
-    def test_escrow_never_overspends(self):
+    def test_escrow_never_overspends_a_budget(self):
         run_state_machine_as_test(EscrowMachine, settings=_SETTINGS)
 
     @params((EscrowMachine, True), (NaiveEscrowMachine, False))
-    def test_stale_fold_race(self, machine, holds):
-        """Symptom: an account is charged past its budget. Sequence: a top-up
-        of 100; e0 and e1 read the ledger; e1 takes a grant of 60; e0 takes a
-        grant of 60 from its now stale fold; both spend all they hold. Cause:
-        a grant spent on the log's word alone, before the fold shows that it
-        did not fit, so the naive variant must fail where ours holds."""
+    def test_a_grant_from_a_stale_fold_is_not_spent(self, machine, holds):
+        """Guards against spending a grant that is on the log before the fold shows
+        whether it fits. After a top-up of 100, e0 and e1 read the ledger, e1 takes a
+        grant of 60, e0 takes 60 from its now stale fold, and both spend all that they
+        hold: the account is charged beyond its budget. The naive variant must fail."""
         m = machine()
         a, e0, e1 = ACCOUNTS[0], ENTRIES[0], ENTRIES[1]
         m.topup(a, 100)
@@ -299,7 +298,7 @@
             m.serve(e1, a, 30, REQUESTS[2 * i + 1])
         try:
             m.spend_never_exceeds_budget()
-            held = True
+            passed = True
         except AssertionError:
-            held = False
-        self.assertEqual(held, holds)
+            passed = False
+        self.assertEqual(passed, holds)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Table tests of the ledger fold and the escrow book."""
+"""Table tests of the ledger fold and the escrow."""
 
 import unittest
 
@@ -53,15 +53,15 @@
     @params(
         # records, free, open, spent
         ([_topup(100)], 100, 0, 0),
-        ([_topup(100), _topup(100)], 100, 0, 0),  # same topup id: counted once
+        ([_topup(100), _topup(100)], 100, 0, 0),  # the same top-up id counts once
         (START, 40, 60, 0),
-        ([*START, _grant("g2", 60)], 40, 60, 0),  # g2 does not fit: void
+        ([*START, _grant("g2", 60)], 40, 60, 0),  # g2 does not fit and is void
         ([*START, _bill("r1", "g1", 10)], 40, 50, 10),
         ([*START, _bill("r1", "g1", 10), _settle("g1")], 90, 0, 10),
         ([*START, _settle("g1"), _settle("g1")], 100, 0, 0),
         ([_grant("g1", 1)], 0, 0, 0),
-        # A record appended twice after a lost reply counts once, even when
-        # the grant it opens was settled in between.
+        # A record appended twice after a lost reply counts once, even if the
+        # grant that it opens was settled in between.
         (
             [
                 _topup(100),
@@ -90,9 +90,9 @@
         ([], _bill("r1", "g9", 1), VOID),
         ([_bill("r1", "g1", 10)], _bill("r1", "g1", 10), DUPLICATE),
         ([_bill("r1", "g1", 50)], _bill("r2", "g1", 20), VOID),
-        # A paused holder bills a grant that was taken back: fenced off.
+        # A paused holder bills a grant that was reclaimed: the bill is fenced off.
         ([_settle("g1")], _bill("r1", "g1", 10), VOID),
-        # A void bill is not a bill: the request may be charged elsewhere.
+        # A void bill does not count as billed: another bill may charge the request.
         ([_bill("r1", "g9", 1)], _bill("r1", "g1", 1), CHARGED),
     )
     def test_bill_outcome(self, before, bill, outcome):
@@ -137,23 +137,23 @@
         return book
 
     @params(
-        # grants, reserve, now_s, reserved?
+        # grants, tokens to reserve, now_s, whether reserved
         ((50,), 40, 0.0, True),
         ((50,), 60, 0.0, False),
         ((30, 30), 50, 0.0, True),
         ((50,), 10, 100.0, False),  # lease ended
     )
-    def test_reserve(self, sizes, tokens, now_s, ok):
+    def test_reserve(self, sizes, tokens, now_s, reserved):
         book = self._book(*sizes)
         got = book.reserve(RequestId("r"), A, tokens, now_s)
-        self.assertEqual(got is not None, ok)
+        self.assertEqual(got is not None, reserved)
 
     @params(
-        # reserved, spent, charged, then the ledger's word, left
+        # reserved, spent, charged, outcome of the bill, available afterwards
         (40, 25, 25, CHARGED, 25),
         (40, 90, 40, CHARGED, 10),
         (40, 0, 0, CHARGED, 50),
-        (40, 25, 25, DUPLICATE, 50),  # billed elsewhere: ours to spend again
+        (40, 25, 25, DUPLICATE, 50),  # billed by another entry: free again
     )
     def test_commit_and_confirm(self, reserve, spent, charged, outcome, left):
         book = self._book(50)
@@ -171,22 +171,22 @@
     @params(
         # free, available, missing, usual grant, size
         (100_000, 0, 0, 4000, 4000),
-        (6000, 0, 0, 4000, 3000),  # half of what is left
-        (6000, 0, 3500, 4000, 3500),  # but at least what the request needs
+        (6000, 0, 0, 4000, 3000),  # half of what is free
+        (6000, 0, 3500, 4000, 3500),  # but at least what the request lacks
         (200, 0, 300, 4000, 200),  # never more than is free
         (0, 0, 100, 4000, 0),
-        (5000, 3000, 0, 4000, 1000),  # what is held counts into the half
+        (5000, 3000, 0, 4000, 1000),  # held tokens count toward the half
         (6000, 6000, 0, 4000, 0),
     )
     def test_grant_size(self, free, available, missing, usual, size):
         self.assertEqual(grant_size(free, available, missing, usual), size)
 
     def test_a_burst_does_not_take_the_whole_budget(self):
-        """Symptom: an entry dies and 18 of its 20 callers are refused at the
-        other, though two thirds of the budget are unspent. Sequence: 20
-        marking jobs arrive at one entry in 0.2 s; each finds less in hand
-        than the rate calls for and another slice is granted. Cause: a cap
-        on each grant and none on what an entry holds."""
+        """Guards against a limit per grant without one on what an entry holds. 20
+        marking jobs arrive at one entry in 0.2 s, each finds less available than the
+        rate calls for, and each takes another grant. When that entry dies, 18 of its
+        20 clients are refused at the other one, though two thirds of the budget are
+        unspent."""
         free, available = 200_000, 0
         for i in range(20):
             rate = 3128 * (i + 1) / 30.0
@@ -198,12 +198,12 @@
 
 class RefillTest(unittest.TestCase):
     @params(
-        # cost, available, free, elsewhere, rate, grant, from others
-        (100, 5000, 90_000, 0, 0.0, 0, 0),  # enough in hand
+        # cost, available, free, held elsewhere, rate, grant, asked of others
+        (100, 5000, 90_000, 0, 0.0, 0, 0),  # enough available
         (100, 900, 90_000, 0, 0.0, 4000, 0),  # below low water
-        (100, 5000, 90_000, 0, 200.0, 12_000, 0),  # below half a minute's worth
-        (100, 5000, 15_000, 0, 200.0, 5000, 0),  # but half of what is left
-        (700, 500, 100, 9000, 0.0, 100, 1000),  # the rest is held elsewhere
+        (100, 5000, 90_000, 0, 200.0, 12_000, 0),  # below half a minute of spend
+        (100, 5000, 15_000, 0, 200.0, 5000, 0),  # limited to half of the tokens left
+        (700, 500, 100, 9000, 0.0, 100, 1000),  # other entries hold the rest
         (700, 500, 100, 0, 0.0, 100, 0),  # the rest is spent
     )
     def test_plan(self, cost, available, free, elsewhere, rate, grant, others):
@@ -211,7 +211,7 @@
         got = plan_refill(cost, available, free, elsewhere, rate, policy)
         self.assertEqual((got.grant_tokens, got.others_tokens), (grant, others))
 
-    def test_the_rate_is_what_was_reserved_lately(self):
+    def test_the_rate_is_that_of_recent_reservations(self):
         book = EscrowBook(EntryId("e1"))
         book.add(HeldGrant(GrantId("g"), A, 100_000, usable_until_s=1000.0))
         for i in range(200):
@@ -222,15 +222,15 @@
 
 class ReclaimableTest(unittest.TestCase):
     @params(
-        # holder, its boot, gone entries, seen ago, taken back?
+        # holder, its boot id, gone entries, seconds since the grant was seen, reclaimed
         ("e2", "b9", ["e2"], 60.0, True),
-        ("e2", "b9", ["e2"], 59.0, False),  # its lease may still run
-        ("e2", "b9", [], 600.0, False),  # listed: it may be only cut off
-        ("e1", "b0", [], 0.0, True),  # an earlier life of this entry
-        ("e1", "b1", ["e1"], 600.0, False),  # this life's own
-        ("e1", "b2", [], 600.0, False),  # a life that replaces this one
+        ("e2", "b9", ["e2"], 59.0, False),  # the lease may still run
+        ("e2", "b9", [], 600.0, False),  # still listed: it may only be partitioned
+        ("e1", "b0", [], 0.0, True),  # an earlier run of this entry
+        ("e1", "b1", ["e1"], 600.0, False),  # the present run
+        ("e1", "b2", [], 600.0, False),  # a run that replaces this one
     )
-    def test_reclaimable(self, holder, boot, gone, ago_s, taken):
+    def test_reclaimable(self, holder, boot, gone, ago_s, reclaimed):
         grant = OpenGrant(GrantId("g"), A, EntryId(holder), boot, 10)
         got = reclaimable(
             {grant.grant_id: grant},
@@ -241,4 +241,4 @@
             60.0,
             1000.0,
         )
-        self.assertEqual(got, ["g"] if taken else [])
+        self.assertEqual(got, ["g"] if reclaimed else [])
--- a/tests/test_restore_model.py
+++ b/tests/test_restore_model.py
@@ -1,15 +1,15 @@
-"""Randomised runs of whole entries before a log that comes back from older copies.
-
-The real keepers, tails and books run in modelled time (``tests/restored_fleet.py``).
-Each step is a request, a version, an endpoint's leaving, a cut, lost and late answers
-and writes, compaction, a planned stop, a kill, a loss of power, or the log coming back
-from a copy. At all times what was spent fits the total, no version goes back, no
-endpoint that left is sent to, and nothing is denied from an old view; once all is well
-nothing is missing.
-
-Two naive variants must be caught, which tests the checker: a log whose answers do not
-tell their era, as it is for entries that do not look at it, and entries that take the
-rows of the copy for what was claimed.
+"""Randomised runs of whole entries on a log that is restored from older backups.
+
+The real tasks and state run in virtual time (``tests/restored_fleet.py``). Each step is
+a request, a configuration version, the leaving of an endpoint, a partition, lost and
+late replies and writes, a compaction, a planned stop, a kill, a power loss, or a
+restore of the log from a backup. At all times spending fits the total, no version
+regresses, no endpoint that left receives requests, and no refusal comes from a stale
+view; once all faults are over, nothing is missing.
+
+To test the checker, two naive variants must be caught: a log whose replies lack the
+era, so that entries cannot check it, and entries that take the rows of the backup for
+all that was claimed.
 """
 
 import logging
@@ -26,8 +26,8 @@
 
 CI_EXAMPLES = 30
 NAIVE_EXAMPLES = 60
-which = st.integers(0, ENTRIES - 1)
-names = st.sampled_from(ENDPOINTS)
+indexes = st.integers(0, ENTRIES - 1)
+endpoint_names = st.sampled_from(ENDPOINTS)
 
 
 def _step(step: str, **arguments):
@@ -38,21 +38,21 @@
     _step("run", for_s=st.sampled_from([0.1, 0.4, 1.0, 2.5])),
     _step(
         "spend",
-        i=which,
+        i=indexes,
         tokens=st.integers(100, 3_000),
         part=st.sampled_from([0.3, 1.0]),
         takes_s=st.sampled_from([0.05, 1.0]),
         times=st.sampled_from([1, 4]),
     ),
     _step("new_version"),
-    _step("drain", name=names),
-    _step("leave", name=names),
-    _step("restart", name=names),
+    _step("drain", name=endpoint_names),
+    _step("leave", name=endpoint_names),
+    _step("restart", name=endpoint_names),
     _step("compact"),
-    _step("cut", i=which, cut=st.booleans()),
+    _step("cut", i=indexes, cut=st.booleans()),
     _step(
         "faults",
-        i=which,
+        i=indexes,
         lost_share=st.sampled_from([0.0, 0.3]),
         late_s=st.sampled_from([0.0, 0.3, 1.5]),
         slow_s=st.sampled_from([0.0, 0.5]),
@@ -66,19 +66,19 @@
     ),
     _step(
         "come_back_without",
-        i=which,
+        i=indexes,
         tokens=st.sampled_from([500, 1_500]),
         copies_ago=st.sampled_from([4, 8, 12, 20]),
         for_s=st.sampled_from([0.5, 2.0, 6.0]),
     ),
-    _step("stop", i=which, down_s=st.sampled_from([0.3, 2.0])),
+    _step("stop", i=indexes, down_s=st.sampled_from([0.3, 2.0])),
     _step(
-        "kill", i=which, power=st.booleans(), down_s=st.sampled_from([0.3, 1.0, 3.0])
+        "kill", i=indexes, power=st.booleans(), down_s=st.sampled_from([0.3, 1.0, 3.0])
     ),
 )
 
 
-async def _take(fleet: RestoredFleet, step: str, arguments: dict) -> None:
+async def _run_step(fleet: RestoredFleet, step: str, arguments: dict) -> None:
     match step:
         case "run":
             await fleet.run(**arguments)
@@ -107,19 +107,19 @@
 
 
 async def _kill(fleet: RestoredFleet, i: int, power: bool, down_s: float) -> None:
-    # A start waits for the log: it must be there.
+    # A start waits for the log, so the log must be available.
     while fleet.log.away:
         await fleet.run(0.1)
     await fleet.kill(i, power, down_s)
 
 
 async def play(plan, seed: int, tells: bool = True) -> RestoredFleet:
-    """Take all steps of ``plan``, then see that nothing was missed."""
+    """Run all steps of ``plan``, then check that nothing was missed."""
     fleet = RestoredFleet(seed, tells)
     await fleet.begin()
     try:
         for step, arguments in plan:
-            await _take(fleet, step, dict(arguments))
+            await _run_step(fleet, step, dict(arguments))
         await fleet.settle()
         fleet.check_settled()
     finally:
@@ -128,7 +128,7 @@
 
 
 def restore_property(examples: int, tells: bool = True, derandomize: bool = True):
-    """The property as a function to call; raises what it finds."""
+    """The property as a function that raises when it fails."""
 
     @settings(
         max_examples=examples,
@@ -136,7 +136,7 @@
         derandomize=derandomize,
         database=None,
         print_blob=True,
-        # A plan takes a tenth of a second: shrinking one takes minutes.
+        # A plan takes a tenth of a second, so shrinking would take minutes.
         phases=(Phase.explicit, Phase.generate),
         suppress_health_check=list(HealthCheck),
     )
@@ -152,21 +152,21 @@
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_nothing_is_overrun_reverted_or_missed(self):
+    def test_nothing_is_overspent_reverted_or_missed(self):
         restore_property(CI_EXAMPLES)()
 
-    def test_the_checker_catches_entries_that_do_not_look_at_the_era(self):
+    def test_the_checker_catches_entries_that_ignore_the_era(self):
         with self.assertRaises(AssertionError):
             restore_property(NAIVE_EXAMPLES, tells=False)()
 
-    def test_the_checker_catches_entries_that_believe_the_copy(self):
-        believe = mock.patch.object(RestoreGuard, "rose", lambda *_: None)
-        with believe, self.assertRaises(AssertionError):
+    def test_the_checker_catches_entries_that_trust_the_backup(self):
+        trust = mock.patch.object(RestoreGuard, "rose", lambda *_: None)
+        with trust, self.assertRaises(AssertionError):
             restore_property(NAIVE_EXAMPLES)()
 
 
 def main() -> None:
-    """The long run: other plans each time, as many as the command says."""
+    """Run as many random plans as the command line says, different ones each time."""
     examples = int(sys.argv[1])
     logging.disable(logging.CRITICAL)
     restore_property(examples, derandomize=False)()
