--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -6,7 +6,7 @@
 from celerytrack.eras import Era, EraChange
 from celerytrack.events import Event, log_event
 from celerytrack.ids import EntryId
-from celerytrack.prepaid.restores import RestoreGuard
+from celerytrack.prepaid.restore_hold import RestoreGuard
 
 _log = logging.getLogger(__name__)
 
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -15,7 +15,7 @@
     kept_tokens,
     next_claim,
 )
-from celerytrack.prepaid.restores import RestoreGuard, most
+from celerytrack.prepaid.restore_hold import RestoreGuard, most
 from celerytrack.prepaid.rows import FoldedRows
 from celerytrack.prepaid.shares import Reservation, Row, Share
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -13,7 +13,7 @@
 from celerytrack.platform.log_format import decode_era
 from celerytrack.platform.rows import decode_member, encode_member
 from celerytrack.prepaid import PrepaidBook, Row
-from celerytrack.prepaid.restores import HOLD_S
+from celerytrack.prepaid.restore_hold import HOLD_S
 from celerytrack.strict import UnreadableError
 
 SAME, CHANGED, LATE = EraNews.SAME, EraNews.CHANGED, EraNews.LATE
--- a/tests/test_restore_model.py
+++ b/tests/test_restore_model.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from celerytrack.lab.virtual_time import run_virtual
-from celerytrack.prepaid.restores import RestoreGuard
+from celerytrack.prepaid.restore_hold import RestoreGuard
 from tests.restored_fleet import ENDPOINTS, ENTRIES, RestoredFleet
 
 CI_EXAMPLES = 30
