--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -21,7 +21,7 @@
 from celerytrack.endpoint import Choice, Endpoint, Need, Registration, Sent
 from celerytrack.ids import EndpointId, ServiceName, Zone
 from celerytrack.prefill import PREFILL_TOKENS_PER_S, prefill_s
-from celerytrack.restored_records import RestoredRecords
+from celerytrack.restored_registrations import RestoredRecords
 from celerytrack.routing import rendezvous_weight
 
 RUNNING_S = 0.00015
