--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -3,15 +3,15 @@
 import logging
 import time
 
-from celerytrack.clocks import (
-    age_at_power_s,
-    age_at_start_s,
-    age_beside_others_s,
-)
 from celerytrack.eras import Era
 from celerytrack.events import Event, log_event
 from celerytrack.members import Member, MemberView
 from celerytrack.prepaid import PrepaidBook
+from celerytrack.row_age import (
+    age_at_power_s,
+    age_at_start_s,
+    age_beside_others_s,
+)
 
 _log = logging.getLogger(__name__)
 
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -7,11 +7,6 @@
 import attrs
 from nose2.tools import params
 
-from celerytrack.clocks import (
-    age_at_power_s,
-    age_at_start_s,
-    age_beside_others_s,
-)
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.links import UNEQUAL_TIMES, least_link_mbps
 from celerytrack.members import (
@@ -24,6 +19,11 @@
 from celerytrack.prepaid.policy import Standing, goal
 from celerytrack.prepaid.rows import FoldedRows, Sums
 from celerytrack.prepaid.shares import FRESH_S, OUTAGE_S, Share
+from celerytrack.row_age import (
+    age_at_power_s,
+    age_at_start_s,
+    age_beside_others_s,
+)
 from celerytrack.row_pace import (
     URGENT_BURST,
     URGENT_ROWS_PER_S,
--- a/tests/test_prepaid_model.py
+++ b/tests/test_prepaid_model.py
@@ -24,10 +24,10 @@
 )
 from nose2.tools import params
 
-from celerytrack.clocks import age_at_start_s
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
 from celerytrack.prepaid import PrepaidBook, Reservation, Row
+from celerytrack.row_age import age_at_start_s
 
 LONG_S = 5.0
 """A partition in which an entry spends more than its next run counts if that assumes
