--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -36,7 +36,7 @@
 from celerytrack.platform.rows import RowError, decode_member, encode_member
 from celerytrack.platform.topics import ENTRIES_TOPIC
 from celerytrack.prepaid import PrepaidBook
-from celerytrack.row_pace import RowPace, beat_interval_s
+from celerytrack.row_rate import RowPace, beat_interval_s
 
 _log = logging.getLogger(__name__)
 
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -1,7 +1,7 @@
 """Which entries are alive, and which of them callers are told, without I/O.
 
 Each entry writes its :class:`Member` row again and again
-(:mod:`celerytrack.row_pace`). One whose row has not been renewed for some beats is left
+(:mod:`celerytrack.row_rate`). One whose row has not been renewed for some beats is left
 out of address answers, but only while this entry can read the log: when the log is
 away, nobody's row is renewed, and the last view stands.
 """
@@ -16,7 +16,7 @@
 from celerytrack.ids import EntryId, Zone
 from celerytrack.links import least_link_mbps
 from celerytrack.member import Member, MemberState, older_row
-from celerytrack.row_pace import beat_interval_s
+from celerytrack.row_rate import beat_interval_s
 
 SILENT_BEATS = 3.5
 """An entry is silent after this many intervals: one row may be lost and the
--- a/src/celerytrack/row_age.py
+++ b/src/celerytrack/row_age.py
@@ -7,7 +7,7 @@
 import statistics
 
 from celerytrack.members import FEWEST_WITNESSES, Member
-from celerytrack.row_pace import BEAT_S
+from celerytrack.row_rate import BEAT_S
 
 CLOCK_SLACK_S = 0.2
 """Largest difference of two readings of the clock offset on one instance."""
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -24,7 +24,7 @@
     age_at_start_s,
     age_beside_others_s,
 )
-from celerytrack.row_pace import (
+from celerytrack.row_rate import (
     URGENT_BURST,
     URGENT_ROWS_PER_S,
     RowPace,
