--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -21,7 +21,7 @@
 from celerytrack.endpoint import Choice, Endpoint, Need, Registration, Sent
 from celerytrack.ids import EndpointId, ServiceName, Zone
 from celerytrack.prefill import PREFILL_TOKENS_PER_S, prefill_s
-from celerytrack.restored_registrations import RestoredRecords
+from celerytrack.restored_registrations import RestoredRegistrations
 from celerytrack.routing import rendezvous_weight
 
 RUNNING_S = 0.00015
@@ -93,7 +93,7 @@
         self._rng = rng
         self._endpoints: dict[EndpointId, Endpoint] = {}
         self._forgotten: LRUCache[EndpointId, Registration] = LRUCache(FORGOTTEN_MOST)
-        self.restores = RestoredRecords()
+        self.restores = RestoredRegistrations()
 
     def register(self, registration: Registration, now_s: float) -> Registered:
         """Take a registration as read at ``now_s``."""
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -6,7 +6,7 @@
 from celerytrack.eras import Era
 from celerytrack.events import Event, log_event
 from celerytrack.members import Member, MemberView
-from celerytrack.prepaid import PrepaidBook
+from celerytrack.prepaid import PrepaidBudgets
 from celerytrack.row_age import (
     age_at_power_s,
     age_at_start_s,
@@ -47,7 +47,9 @@
         self._doubtful = last if age_s is None else None
         return age_s
 
-    def reconsider(self, mine: Member, members: MemberView, book: PrepaidBook) -> None:
+    def reconsider(
+        self, mine: Member, members: MemberView, book: PrepaidBudgets
+    ) -> None:
         """See how old the last row was, by those that lost power too or by those
         that did not, so that the rest of the claim adopted as spent is free.
 
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -10,7 +10,7 @@
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.members import MemberView
-from celerytrack.prepaid import PrepaidBook, Reservation
+from celerytrack.prepaid import PrepaidBudgets, Reservation
 
 WAIT_TOKENS_S = 0.35
 """Longest a request waits for tokens: a row of a slow store comes within it, and with
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        book: PrepaidBook,
+        book: PrepaidBudgets,
         members: MemberView,
         gifts: GiftClient,
         rows: RowTask,
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -6,7 +6,7 @@
 from celerytrack.eras import Era, EraChange
 from celerytrack.events import Event, log_event
 from celerytrack.ids import EntryId
-from celerytrack.prepaid.restore_hold import RestoreGuard
+from celerytrack.prepaid.restore_hold import RestoreHold
 
 _log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
     )
 
 
-def log_hold_over(guard: RestoreGuard, era: Era | None) -> None:
+def log_hold_over(guard: RestoreHold, era: Era | None) -> None:
     """Say how long claims were held, and for whom in vain."""
     log_event(
         _log,
--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -1,7 +1,7 @@
 """The task that keeps this entry's row on the log and its prepaid shares.
 
 It owns the topic of the entries' rows: it folds all rows into the
-:class:`~celerytrack.prepaid.PrepaidBook` and the
+:class:`~celerytrack.prepaid.PrepaidBudgets` and the
 :class:`~celerytrack.members.MemberView`, and writes this entry's row, one
 append at a time, numbered, so that an append that lands late or twice is
 recognised by the store and never overwrites a later one.
@@ -35,8 +35,8 @@
 from celerytrack.platform.log_format import KeyedRecord
 from celerytrack.platform.rows import RowError, decode_member, encode_member
 from celerytrack.platform.topics import ENTRIES_TOPIC
-from celerytrack.prepaid import PrepaidBook
-from celerytrack.row_rate import RowPace, beat_interval_s
+from celerytrack.prepaid import PrepaidBudgets
+from celerytrack.row_rate import RowRateLimiter, beat_interval_s
 
 _log = logging.getLogger(__name__)
 
@@ -72,9 +72,9 @@
         link_mbps: float = 0.0,
         eras: EraWatch | None = None,
     ) -> None:
-        self.book = PrepaidBook(entry_id)
+        self.book = PrepaidBudgets(entry_id)
         self.members = MemberView(entry_id, link_mbps)
-        self._pace = RowPace()
+        self._pace = RowRateLimiter()
         self.state = MemberState.SERVING
         self.started = False
         self._store = store
--- a/src/celerytrack/prepaid/__init__.py
+++ b/src/celerytrack/prepaid/__init__.py
@@ -36,7 +36,7 @@
 an argument.
 """
 
-from celerytrack.prepaid.budgets import PrepaidBook
+from celerytrack.prepaid.budgets import PrepaidBudgets
 from celerytrack.prepaid.shares import Reservation, Row
 
-__all__ = ["PrepaidBook", "Reservation", "Row"]
+__all__ = ["PrepaidBudgets", "Reservation", "Row"]
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -9,18 +9,18 @@
 from celerytrack.prepaid.policy import (
     GIFT_SHARE,
     RESERVE_SHARE,
-    Goal,
+    ShareTarget,
     Standing,
     goal,
     kept_tokens,
     next_claim,
 )
-from celerytrack.prepaid.restore_hold import RestoreGuard, most
+from celerytrack.prepaid.restore_hold import RestoreHold, most
 from celerytrack.prepaid.rows import FoldedRows
 from celerytrack.prepaid.shares import Reservation, Row, Share
 
 
-class PrepaidBook:
+class PrepaidBudgets:
     """The folded rows of all entries, and this entry's own share of each account.
 
     :param me: this entry, which is also the key of its row.
@@ -35,7 +35,7 @@
         self._entries = 1.0
         self.row_time_s = 0.0
         self._leaving = False
-        self.guard = RestoreGuard(me)
+        self.guard = RestoreHold(me)
 
     # -- configured totals and folded rows --------------------------------
 
@@ -316,9 +316,9 @@
         share.urgent_tokens = 0
         return share.wanted_tokens > 0
 
-    def _goal(self, account: AccountId, now_s: float) -> Goal:
+    def _goal(self, account: AccountId, now_s: float) -> ShareTarget:
         if self._leaving:
-            return Goal(0, 0, 0)
+            return ShareTarget(0, 0, 0)
         share = self._share(account)
         return goal(
             share,
--- a/src/celerytrack/prepaid/policy.py
+++ b/src/celerytrack/prepaid/policy.py
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class Goal:
+class ShareTarget:
     """What an entry's next row should offer of an account beyond its floor."""
 
     hand_tokens: int
@@ -91,7 +91,7 @@
     row_time_s: float = 0.0
 
 
-def goal(share: Share, standing: Standing, now_s: float) -> Goal:
+def goal(share: Share, standing: Standing, now_s: float) -> ShareTarget:
     """What this entry's next row should offer of an account beyond its floor.
 
     The share follows the entry's part of the account's spend: clients keep
@@ -114,7 +114,7 @@
     claim = max(
         min(rate * COVER_S + largest_requests, max_claim), equal_share * FIRST_SHARE
     )
-    return Goal(int(min(hand, claim)), int(pace), int(claim))
+    return ShareTarget(int(min(hand, claim)), int(pace), int(claim))
 
 
 def kept_tokens(total_tokens: int) -> int:
@@ -124,7 +124,7 @@
 
 def next_claim(
     share: Share,
-    goal: Goal,
+    goal: ShareTarget,
     room_tokens: int,
     total_tokens: int,
     wanted_elsewhere: bool,
--- a/src/celerytrack/prepaid/restore_hold.py
+++ b/src/celerytrack/prepaid/restore_hold.py
@@ -27,7 +27,7 @@
 Rows = Mapping[AccountId, Row]
 
 
-class RestoreGuard:
+class RestoreHold:
     """Rows known before the restore, and the entries that have not written since.
 
     :param me: this entry.
--- a/src/celerytrack/prepaid/rows.py
+++ b/src/celerytrack/prepaid/rows.py
@@ -9,8 +9,8 @@
 
 
 @attrs.define
-class Sums:
-    """Sums over the rows of several entries for one account.
+class RowSums:
+    """RowSums over the rows of several entries for one account.
 
     :ivar wanting: how many of the entries lack tokens.
     """
@@ -31,7 +31,7 @@
 class FoldedRows:
     """The newest row of each entry, with sums per account.
 
-    Sums are updated as rows are folded, so that the work before each write of a row
+    RowSums are updated as rows are folded, so that the work before each write of a row
     does not grow with the fleet (``bench.rows_bench``).
 
     :param me: this entry; its own row is included once it is on the log.
@@ -41,7 +41,7 @@
         self.me = me
         self._rows: dict[EntryId, Mapping[AccountId, Row]] = {}
         self._claimed: dict[AccountId, int] = {}
-        self._others: dict[AccountId, Sums] = {}
+        self._others: dict[AccountId, RowSums] = {}
         self._unreadable: set[EntryId] = set()
 
     @property
@@ -66,7 +66,7 @@
 
     def _sum(self, row: Mapping[AccountId, Row], times: int) -> None:
         for account, published in row.items():
-            self._others.setdefault(account, Sums()).add(published, times)
+            self._others.setdefault(account, RowSums()).add(published, times)
 
     def unreadable(self, entry: EntryId) -> None:
         """Record that the newest row of ``entry`` cannot be decoded."""
@@ -83,9 +83,9 @@
         """The sum of all claims on ``account``."""
         return self._claimed.get(account, 0)
 
-    def others(self, account: AccountId) -> Sums:
-        """Sums over the other entries' rows of ``account``."""
-        return self._others.get(account, Sums())
+    def others(self, account: AccountId) -> RowSums:
+        """RowSums over the other entries' rows of ``account``."""
+        return self._others.get(account, RowSums())
 
     def richest(self, account: AccountId) -> list[EntryId]:
         """The other entries that probably hold tokens of ``account``, largest first."""
--- a/src/celerytrack/restored_registrations.py
+++ b/src/celerytrack/restored_registrations.py
@@ -7,7 +7,7 @@
 from celerytrack.ids import EndpointId
 
 
-class RestoredRecords:
+class RestoredRegistrations:
     """Which registrations in the backup are outdated, and which it lacks.
 
     Endpoints write their registrations again. Until then, the log lists some endpoints
--- a/src/celerytrack/row_rate.py
+++ b/src/celerytrack/row_rate.py
@@ -23,7 +23,7 @@
     return max(BEAT_S, entries / BEATS_PER_S)
 
 
-class RowPace:
+class RowRateLimiter:
     """Limits the rate of an entry's rows.
 
     On average all entries together write at most :data:`URGENT_ROWS_PER_S`. An entry
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -12,7 +12,7 @@
 from celerytrack.members import Member, MemberState, MemberView
 from celerytrack.platform.log_format import decode_era
 from celerytrack.platform.rows import decode_member, encode_member
-from celerytrack.prepaid import PrepaidBook, Row
+from celerytrack.prepaid import PrepaidBudgets, Row
 from celerytrack.prepaid.restore_hold import HOLD_S
 from celerytrack.strict import UnreadableError
 
@@ -72,7 +72,7 @@
 
 def _book(claimed=30_000, own=10_000):
     """Budgets with a large claim of a peer and a row of this entry, both of ``OLD``."""
-    book = PrepaidBook(ME)
+    book = PrepaidBudgets(ME)
     book.set_totals({A: TOTAL})
     book.fold(PEER, {A: Row(claimed, 5_000, 2_000)}, OLD)
     book.fold(ME, {A: Row(own, own)}, OLD)
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -15,9 +15,9 @@
     MemberView,
     choose_addresses,
 )
-from celerytrack.prepaid import PrepaidBook, Row
+from celerytrack.prepaid import PrepaidBudgets, Row
 from celerytrack.prepaid.policy import Standing, goal
-from celerytrack.prepaid.rows import FoldedRows, Sums
+from celerytrack.prepaid.rows import FoldedRows, RowSums
 from celerytrack.prepaid.shares import FRESH_S, OUTAGE_S, Share
 from celerytrack.row_age import (
     age_at_power_s,
@@ -27,7 +27,7 @@
 from celerytrack.row_rate import (
     URGENT_BURST,
     URGENT_ROWS_PER_S,
-    RowPace,
+    RowRateLimiter,
     beat_interval_s,
 )
 
@@ -36,16 +36,16 @@
 TOTAL = 100_000
 
 
-def _book(total: int = TOTAL, entries: int = 2, now_s: float = 0.0) -> PrepaidBook:
+def _book(total: int = TOTAL, entries: int = 2, now_s: float = 0.0) -> PrepaidBudgets:
     """Budgets whose first row is on the log."""
-    book = PrepaidBook(ME)
+    book = PrepaidBudgets(ME)
     book.set_totals({A: total})
     book.adopt(None)
     _write(book, entries, now_s)
     return book
 
 
-def _write(book: PrepaidBook, entries: int, now_s: float) -> Row:
+def _write(book: PrepaidBudgets, entries: int, now_s: float) -> Row:
     book.plan(entries, now_s)
     row = book.next_row(now_s)
     book.fold(ME, row)
@@ -92,7 +92,7 @@
         book = _book()
         row = _write(book, 2, 0.0)
         spendable = book.left_tokens(A, age_s)
-        after = PrepaidBook(ME)
+        after = PrepaidBudgets(ME)
         after.set_totals({A: TOTAL})
         after.fold(ME, {A: row})
         after.adopt(age_s)
@@ -150,7 +150,7 @@
         self.assertEqual(book.left_tokens(A, 1.1), 0)
 
     def test_a_claim_that_does_not_fit_is_not_spent_and_is_withdrawn(self):
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.adopt(None)
         book.plan(2, 0.0)
@@ -166,7 +166,7 @@
         """Guards against treating an undecodable row as absent. Entries of two
         releases with different row formats run side by side and reject each other's
         rows. Each sees the whole total free and claims it: every account overspent."""
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.unreadable(PEER)
         book.adopt(None)
@@ -182,7 +182,7 @@
         """Guards against equal shares whichever entry spends. Clients keep connections,
         so an account's requests come through one entry. In a partition these were
         refused while other entries without clients held most of the total."""
-        idle, busy = _book(), PrepaidBook(PEER)
+        idle, busy = _book(), PrepaidBudgets(PEER)
         first = _write(idle, 2, 0.0).claimed_tokens
         idle.fold(PEER, {A: Row(60_000, 50_000, 40_000, 0, 0, 4_000)})
         later = _write(idle, 2, 1.0).claimed_tokens
@@ -202,7 +202,7 @@
         self.assertGreater(left, 9 * 2_000)
 
 
-def _write_as(book: PrepaidBook, entry: EntryId, entries: int, now_s: float) -> None:
+def _write_as(book: PrepaidBudgets, entry: EntryId, entries: int, now_s: float) -> None:
     book.plan(entries, now_s)
     row = book.next_row(now_s)
     book.fold(entry, row)
@@ -215,7 +215,7 @@
         """Guards against last tokens that any request may use. A power loss with little
         of a total left loses all claims; a few of the longest prompts then took the
         free tokens, and less than a quarter of the requests were served."""
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.fold(PEER, {A: Row(98_000, 98_000, 98_000)})
         book.adopt(None)
@@ -233,7 +233,7 @@
         (99_000, 1_000, True, False),
     )
     def test_can_claim(self, claimed, tokens, urgent, expected):
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.fold(PEER, {A: Row(claimed, claimed, claimed)})
         self.assertIs(book.may_claim(A, tokens, urgent), expected)
@@ -245,7 +245,7 @@
 
 class TransferTest(unittest.TestCase):
     def test_a_transfer_moves_tokens_and_never_creates_any(self):
-        sender, recipient = _book(), PrepaidBook(PEER)
+        sender, recipient = _book(), PrepaidBudgets(PEER)
         recipient.set_totals({A: TOTAL})
         before = sender.left_tokens(A, 0.1)
         moved = sender.give(A, 500, 0.1)
@@ -270,7 +270,7 @@
         (10_000, 99_500, 5_000, False),  # claimed is not used
     )
     def test_only_known_use_exhausts_a_total(self, used, claimed, cost, expected):
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.fold(PEER, {A: Row(claimed, claimed, used)})
         self.assertIs(book.exhausted(A, cost), expected)
@@ -284,7 +284,7 @@
         (None, 10_000),
     )
     def test_what_may_have_been_spent_counts_as_spent(self, age_s, expected):
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({A: 10_050})
         book.fold(ME, {A: Row(10_000, 3_000, 1_000, pace_tokens_per_s=500)})
         book.adopt(age_s)
@@ -293,7 +293,7 @@
         self.assertEqual(book.next_row(0.1)[A].claimed_tokens, expected)
 
     def test_what_cannot_have_been_spent_is_freed(self):
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({A: 10_050})
         left = {A: Row(10_000, 3_000, 1_000, pace_tokens_per_s=500)}
         book.fold(ME, left)
@@ -499,7 +499,7 @@
 
     @params((6,), (64,), (300,))
     def test_an_entry_may_burst_within_the_fleet_row_limit(self, entries):
-        limiter = RowPace()
+        limiter = RowRateLimiter()
         now_s, rows = 100.0, 0
         delays_s = []
         while now_s < 110.0:
@@ -679,7 +679,7 @@
 
 class FoldedRowsTest(unittest.TestCase):
     def test_sums_equal_those_of_the_newest_rows(self):
-        """Sums that drift from the rows would let entries claim tokens twice."""
+        """RowSums that drift from the rows would let entries claim tokens twice."""
         rng = random.Random(1)
         folded, newest = FoldedRows(ME), {}
         entries = [ME, PEER, THIRD]
@@ -690,7 +690,7 @@
             folded.fold(entry, row)
             newest[entry] = row
             rows = [r[A] for e, r in newest.items() if A in r and e != ME]
-            expected = Sums(
+            expected = RowSums(
                 sum(r.used_tokens for r in rows),
                 sum(r.lost_tokens for r in rows),
                 sum(r.rate_tokens_per_s for r in rows),
--- a/tests/test_prepaid_model.py
+++ b/tests/test_prepaid_model.py
@@ -26,7 +26,7 @@
 
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
-from celerytrack.prepaid import PrepaidBook, Reservation, Row
+from celerytrack.prepaid import PrepaidBudgets, Reservation, Row
 from celerytrack.row_age import age_at_start_s
 
 LONG_S = 5.0
@@ -49,7 +49,7 @@
 
     def boot(self, now_s: float) -> None:
         self.started_s = now_s + self.clock_skew_s
-        self.book = PrepaidBook(self.entry)
+        self.book = PrepaidBudgets(self.entry)
         self.folded = 0
         self.pending: Member | None = None
         self.landed_at: int | None = None
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -9,7 +9,7 @@
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
-from celerytrack.prepaid import PrepaidBook, Row
+from celerytrack.prepaid import PrepaidBudgets, Row
 from tests.gateway_fleet import Fleet
 
 T = AccountId("t")
@@ -43,7 +43,7 @@
         self.assertLess(time.monotonic() - began_s, 0.5)
 
     def test_what_is_recalled_counts_as_spent(self) -> None:
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({T: 1_000})
         book.fold(ME, {T: Row(claimed_tokens=100, used_tokens=50)}, Era(1))
         book.recall({T: Row(claimed_tokens=400, used_tokens=300)})
--- a/tests/test_restore_model.py
+++ b/tests/test_restore_model.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from celerytrack.lab.virtual_time import run_virtual
-from celerytrack.prepaid.restore_hold import RestoreGuard
+from celerytrack.prepaid.restore_hold import RestoreHold
 from tests.restored_fleet import ENDPOINTS, ENTRIES, RestoredFleet
 
 CI_EXAMPLES = 30
@@ -160,7 +160,7 @@
             restore_property(NAIVE_EXAMPLES, tells=False)()
 
     def test_the_checker_catches_entries_that_trust_the_backup(self):
-        trust = mock.patch.object(RestoreGuard, "rose", lambda *_: None)
+        trust = mock.patch.object(RestoreHold, "rose", lambda *_: None)
         with trust, self.assertRaises(AssertionError):
             restore_property(NAIVE_EXAMPLES)()
 
