--- a/bench/core_slopes.py
+++ b/bench/core_slopes.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from celerytrack.escrow import EscrowBook, HeldGrant
+from celerytrack.escrow import Escrow, HeldGrant
 from celerytrack.ids import AccountId, EntryId, GrantId, ReplicaId, RequestId, Zone
 from celerytrack.ledger import Bill, Ledger
 from celerytrack.prompts import prompt_blocks
@@ -60,8 +60,8 @@
     return ledger
 
 
-def _book(n: int) -> EscrowBook:
-    book = EscrowBook(EntryId("entry-1"))
+def _book(n: int) -> Escrow:
+    book = Escrow(EntryId("entry-1"))
     for i in range(n):
         book.add(
             HeldGrant(GrantId(f"entry-1.b.{i}"), AccountId(f"acct-{i:06d}"), 4000, 60.0)
--- a/bench/partition_bench.py
+++ b/bench/partition_bench.py
@@ -21,7 +21,7 @@
 
 import attrs
 
-from celerytrack.escrow import EscrowBook, HeldGrant, plan_refill
+from celerytrack.escrow import Escrow, HeldGrant, plan_refill
 from celerytrack.ids import AccountId, EntryId, RequestId
 from celerytrack.ledger import Bill, BillOutcome, Ledger
 from celerytrack.settings import GrantPolicy
@@ -63,7 +63,7 @@
     with the log reached at once, or not at all when cut."""
     log: list[dict[str, Any]] = []
     folds = {e: Ledger() for e in (CUT, HOME)}
-    books = {e: EscrowBook(e) for e in (CUT, HOME)}
+    books = {e: Escrow(e) for e in (CUT, HOME)}
 
     def fold(entry: EntryId) -> None:
         for offset in range(folds[entry].next_offset, len(log)):
--- a/bench/rows_bench.py
+++ b/bench/rows_bench.py
@@ -12,14 +12,16 @@
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState, MemberView
 from celerytrack.platform.rows import decode_member, encode_member
-from celerytrack.prepaid import PrepaidBudgets, Row
+from celerytrack.prepaid import AccountClaim, PrepaidBudgets
 
 TOTAL_TOKENS = 10_000_000
 ROUNDS = 10
 
 
 def _row(entry: int, made_s: float, accounts: list[AccountId]) -> bytes:
-    shares = {a: Row(10_000, 900, 500 + int(made_s), 0, 0, 50, 50) for a in accounts}
+    shares = {
+        a: AccountClaim(10_000, 900, 500 + int(made_s), 0, 0, 50, 50) for a in accounts
+    }
     member = Member(
         entry_id=EntryId(f"e{entry}"),
         epoch=1,
--- a/src/celerytrack/__init__.py
+++ b/src/celerytrack/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from celerytrack._started import STARTED_S
-from celerytrack.escrow import EscrowBook, HeldGrant, Reservation, budget_refusal
+from celerytrack.escrow import Escrow, GrantReservation, HeldGrant, budget_refusal
 from celerytrack.ids import (
     AccountId,
     ClassName,
@@ -33,9 +33,10 @@
     "ClassName",
     "Config",
     "EntryId",
-    "EscrowBook",
+    "Escrow",
     "FleetSettings",
     "GrantId",
+    "GrantReservation",
     "HeldGrant",
     "Ledger",
     "Load",
@@ -47,7 +48,6 @@
     "ReplicaId",
     "ReplicaLoad",
     "RequestId",
-    "Reservation",
     "RetryBudget",
     "STARTED_S",
     "SettingsError",
--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -16,7 +16,7 @@
 from celerytrack.entry.refusals import RefusedError, refuse
 from celerytrack.entry.state import EntryState
 from celerytrack.entry.suspects import fingerprint
-from celerytrack.escrow import Reservation, budget_refusal
+from celerytrack.escrow import GrantReservation, budget_refusal
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.ids import ReplicaId, RequestId
 from celerytrack.replica_load import Ask, ReplicaLoad
@@ -194,7 +194,7 @@
         state.leave()
 
 
-async def reserve(state: EntryState, admitted: Admitted, cost: int) -> Reservation:
+async def reserve(state: EntryState, admitted: Admitted, cost: int) -> GrantReservation:
     """Reserve ``cost`` tokens, waiting a bounded time for a grant.
 
     :raises RefusedError: ``did_not_run``, saying whether the budget is used
--- a/src/celerytrack/entry/charging.py
+++ b/src/celerytrack/entry/charging.py
@@ -6,7 +6,7 @@
 from celerytrack.entry.admission import Admitted, reserve
 from celerytrack.entry.refusals import RefusedError
 from celerytrack.entry.state import EntryState
-from celerytrack.escrow import Reservation
+from celerytrack.escrow import GrantReservation
 from celerytrack.events import Event, log_event
 from celerytrack.ledger import Bill, BillOutcome
 from celerytrack.verdict import may_have_run
@@ -22,7 +22,7 @@
 
 
 async def charge(
-    state: EntryState, admitted: Admitted, reservation: Reservation, spent: int
+    state: EntryState, admitted: Admitted, reservation: GrantReservation, spent: int
 ) -> None:
     """Bill ``spent`` tokens of ``reservation`` and wait until it is on the log.
 
@@ -45,7 +45,7 @@
 
 
 async def _bill(
-    state: EntryState, admitted: Admitted, reservation: Reservation, spent: int
+    state: EntryState, admitted: Admitted, reservation: GrantReservation, spent: int
 ) -> BillOutcome | None:
     charges = state.keeper.book.commit(reservation, spent)
     bill = Bill(
--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -23,7 +23,7 @@
     try_replicas,
     unreachable,
 )
-from celerytrack.escrow import Reservation
+from celerytrack.escrow import GrantReservation
 from celerytrack.events import Event, log_event
 from celerytrack.prompts import count_tokens, prompt_blocks, prompt_text
 from celerytrack.replica_load import Ask, Attempt
@@ -248,7 +248,7 @@
 
 
 async def _end_unwanted(
-    state: EntryState, answer: _Answer, reservation: Reservation
+    state: EntryState, answer: _Answer, reservation: GrantReservation
 ) -> None:
     """The caller left: what it got is billed, and the engine stops.
 
--- a/src/celerytrack/entry/ledger_keeper.py
+++ b/src/celerytrack/entry/ledger_keeper.py
@@ -4,7 +4,7 @@
 asks for grants when the escrow runs low, settles grants whose lease ended,
 gives idle ones back when another entry wants them, takes back those of
 entries that are gone, and writes snapshots so that readers survive
-retention. Request handlers only touch the in-memory :class:`EscrowBook` and
+retention. Request handlers only touch the in-memory :class:`Escrow` and
 this keeper's methods; all writing goes through the :class:`LedgerWriter`.
 """
 
@@ -19,7 +19,7 @@
 from celerytrack.entry.ledger_writer import LEDGER, LedgerWriter, Record
 from celerytrack.escrow import (
     Charges,
-    EscrowBook,
+    Escrow,
     HeldGrant,
     plan_refill,
     reclaimable,
@@ -67,7 +67,7 @@
         is_gone: Callable[[EntryId], bool] = lambda entry: False,
     ) -> None:
         self.ledger = Ledger()
-        self.book = EscrowBook(entry)
+        self.book = Escrow(entry)
         self.reachable = False
         self.writer = LedgerWriter(
             log,
--- a/src/celerytrack/eras.py
+++ b/src/celerytrack/eras.py
@@ -18,7 +18,7 @@
 """Time after a restore within which others rewrite their records that the log lost."""
 
 
-class EraNews(enum.Enum):
+class EraStatus(enum.Enum):
     """What the era of a reply means."""
 
     SAME = "same"
@@ -46,7 +46,7 @@
         return self.new == self.old + 1
 
 
-class EraWatch:
+class EraTracker:
     """The era of the log, learned from its replies.
 
     :ivar known: the era of the latest valid reply; ``None`` before the first.
@@ -64,7 +64,7 @@
         """Call ``listener`` on each change, before the reply that shows it is used."""
         self._listeners.append(listener)
 
-    def take(self, era: Era | None, changes_at_call: int, now_s: float) -> EraNews:
+    def take(self, era: Era | None, changes_at_call: int, now_s: float) -> EraStatus:
         """Classify a reply by its era.
 
         :param era: ``None`` if the reply has none.
@@ -72,19 +72,19 @@
         """
         restored_since = changes_at_call != self.changes
         if era is None:
-            return EraNews.LATE if restored_since else EraNews.SAME
+            return EraStatus.LATE if restored_since else EraStatus.SAME
         if self.known is None or era == self.known:
             self.known = era
-            return EraNews.SAME
+            return EraStatus.SAME
         if era < self.known and restored_since:
-            return EraNews.LATE
+            return EraStatus.LATE
         # A lower era in reply to a call made after the last change is not a late
         # reply: the log is another one, whatever its numbering.
         change = EraChange(self.known, era, now_s)
         self.known = era
         self.changes += 1
         self._notify(change)
-        return EraNews.CHANGED
+        return EraStatus.CHANGED
 
     def learn(self, written: Era, now_s: float) -> None:
         """Report a restore that may have happened just before this process started.
--- a/src/celerytrack/escrow.py
+++ b/src/celerytrack/escrow.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class Reservation:
+class GrantReservation:
     """Tokens reserved for one request, possibly across several grants."""
 
     request_id: RequestId
@@ -69,7 +69,7 @@
 
 
 @attrs.define
-class EscrowBook:
+class Escrow:
     """All grants held by one entry, and their reservations.
 
     :ivar entry: this entry's id, a part of each grant id.
@@ -102,7 +102,7 @@
 
     def reserve(
         self, request_id: RequestId, account: AccountId, tokens: int, now_s: float
-    ) -> Reservation | None:
+    ) -> GrantReservation | None:
         """Reserve ``tokens`` for a request; ``None`` if too few are available."""
         if tokens > self.available(account, now_s):
             return None
@@ -118,14 +118,14 @@
             if left == 0:
                 break
         self._rates.setdefault(account, _DecayingRate()).add(tokens, now_s)
-        return Reservation(request_id, account, tuple(parts))
+        return GrantReservation(request_id, account, tuple(parts))
 
     def rate_tokens_per_s(self, account: AccountId, now_s: float) -> float:
         """The recent rate at which this entry reserved tokens of ``account``."""
         rate = self._rates.get(account)
         return rate.per_s(now_s) if rate is not None else 0.0
 
-    def commit(self, reservation: Reservation, spent_tokens: int) -> Charges:
+    def commit(self, reservation: GrantReservation, spent_tokens: int) -> Charges:
         """Count ``spent_tokens`` of a reservation as spent and free the rest.
 
         :returns: the charges to bill, never above the reservation. Each of their
@@ -159,7 +159,7 @@
             if outcome is not BillOutcome.CHARGED:
                 grant.spent_tokens -= tokens
 
-    def release(self, reservation: Reservation) -> None:
+    def release(self, reservation: GrantReservation) -> None:
         """Free the whole reservation of a request that did not run."""
         self.commit(reservation, 0)
 
--- a/src/celerytrack/gateway/gifts.py
+++ b/src/celerytrack/gateway/gifts.py
@@ -13,7 +13,7 @@
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.patient_http import patient_session
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 from celerytrack.strict import (
     UnreadableError,
     parse_json,
@@ -103,7 +103,9 @@
             log_event(_log, Event.GIFT_FAILED, address=address, detail=detail)
             return 0
 
-    async def ask_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
+    async def ask_row(
+        self, address: str, me: EntryId
+    ) -> Mapping[AccountId, AccountClaim]:
         """What the entry at ``address`` knows of the row of ``me``; nothing if it does
         not answer."""
         try:
@@ -125,7 +127,7 @@
 
 
 Give = Callable[[AccountId, int], Awaitable[int]]
-Known = Callable[[EntryId], Mapping[AccountId, Row]]
+Known = Callable[[EntryId], Mapping[AccountId, AccountClaim]]
 
 
 def answer_row(known: Known, request: web.BaseRequest) -> web.Response:
--- a/src/celerytrack/gateway/row_writer.py
+++ b/src/celerytrack/gateway/row_writer.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure, Success
 
-from celerytrack.eras import EraWatch
+from celerytrack.eras import EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S
@@ -41,13 +41,13 @@
         store: Store,
         entry_id: EntryId,
         on_contact: Callable[[bool], None],
-        eras: EraWatch | None = None,
+        eras: EraTracker | None = None,
     ) -> None:
         self.epoch = 0
         self._store = store
         self._entry_id = entry_id
         self._on_contact = on_contact
-        self._eras = EraWatch() if eras is None else eras
+        self._eras = EraTracker() if eras is None else eras
         self._sequence = 0
 
     async def fence(self) -> None:
--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -11,7 +11,7 @@
 import logging
 import time
 
-from celerytrack.eras import Era, EraChange, EraWatch
+from celerytrack.eras import Era, EraChange, EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.hedged_store import Store
@@ -70,7 +70,7 @@
         gifts: GiftClient,
         started_s: float,
         link_mbps: float = 0.0,
-        eras: EraWatch | None = None,
+        eras: EraTracker | None = None,
     ) -> None:
         self.book = PrepaidBudgets(entry_id)
         self.members = MemberView(entry_id, link_mbps)
@@ -84,7 +84,7 @@
         self._peer_address = peer_address
         self._started_s = started_s
         self._zone = zone
-        self._eras = EraWatch() if eras is None else eras
+        self._eras = EraTracker() if eras is None else eras
         self._eras.on_change(self._era_changed)
         self._eras_handled = 0
         self._later_start_seen = False
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -10,7 +10,7 @@
 
 from celerytrack.durations import Durations
 from celerytrack.endpoints import EndpointBook
-from celerytrack.eras import EraChange, EraWatch
+from celerytrack.eras import EraChange, EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.findings import Ending, Findings
 from celerytrack.fingerprint import Fingerprint
@@ -70,7 +70,7 @@
         self.entry_id = EntryId(f"{settings.entry_id}@{settings.ip}")
         self.boot_id = uuid.uuid4().hex[:8]
         self.rng = random.Random(self.boot_id)
-        self.eras = EraWatch()
+        self.eras = EraTracker()
         self.store = HedgedStore(StoreClient(settings.store_address, self.eras))
         self.gifts = GiftClient()
         self.keeper = ShareKeeper(
--- a/src/celerytrack/gateway/suspect_keeper.py
+++ b/src/celerytrack/gateway/suspect_keeper.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Success
 
-from celerytrack.eras import EraWatch
+from celerytrack.eras import EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.findings import Findings, Trial
 from celerytrack.fingerprint import Fingerprint
@@ -58,7 +58,7 @@
         store: Store,
         entry_id: EntryId,
         boot_id: str,
-        eras: EraWatch,
+        eras: EraTracker,
         tell: Callable[[Findings], None],
         on_change: Callable[[Findings], None],
     ) -> None:
--- a/src/celerytrack/gateway/tail.py
+++ b/src/celerytrack/gateway/tail.py
@@ -7,7 +7,7 @@
 
 from returns.result import Failure, Result, Success
 
-from celerytrack.eras import Era, EraWatch
+from celerytrack.eras import Era, EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.platform.log_format import Batch, KeyedRecord
@@ -56,7 +56,7 @@
         reload: Callable[[set[str]], None] = lambda keys: None,
         caught_up: Callable[[float], None] = lambda at_s: None,
         contact: Callable[[bool], None] = lambda reachable: None,
-        eras: EraWatch | None = None,
+        eras: EraTracker | None = None,
         only_key: str | None = None,
     ) -> None:
         self.topic = topic
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from celerytrack.eras import EraWatch
+from celerytrack.eras import EraTracker
 from celerytrack.findings import Ending, Findings, Trial
 from celerytrack.gateway.hedged_store import HedgedStore
 from celerytrack.gateway.suspect_keeper import SuspectKeeper
@@ -86,7 +86,7 @@
 
     async def start(self) -> None:
         """Start the process and wait until it serves."""
-        self.store.eras = eras = EraWatch()
+        self.store.eras = eras = EraTracker()
         self._starts += 1
         await asyncio.sleep(START_S)
         keeper = SuspectKeeper(
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Coroutine, Mapping, Sequence
 from typing import Any, TypeVar
 
-from celerytrack.eras import EraWatch
+from celerytrack.eras import EraTracker
 from celerytrack.gateway.gifts import ASK_TIMEOUT_S
 from celerytrack.gateway.hedged_store import HedgedStore
 from celerytrack.gateway.reservations import Reservations
@@ -13,7 +13,7 @@
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.lab.model_log import ModelLog, ModelStore
 from celerytrack.lab.virtual_time import Clock, on_instance
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 
 PEER_S = 0.001
 """Way from entry to entry and back."""
@@ -42,7 +42,9 @@
         giving = on_instance(other.clock, other.reservations.give(account, tokens))
         return await giving
 
-    async def ask_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
+    async def ask_row(
+        self, address: str, me: EntryId
+    ) -> Mapping[AccountId, AccountClaim]:
         """What the entry at ``address`` knows of the row of ``me``."""
         other = self._fleet[int(address)]
         if self._me.apart or other.apart or other.keeper is None:
@@ -85,7 +87,7 @@
     async def start(self) -> None:
         """Start the process anew and wait until it serves."""
         loop = asyncio.get_running_loop()
-        self.store.eras = eras = EraWatch()
+        self.store.eras = eras = EraTracker()
         keeper = ShareKeeper(
             HedgedStore(self.store),
             EntryId(f"e{self.number}"),
--- a/src/celerytrack/lab/model_log.py
+++ b/src/celerytrack/lab/model_log.py
@@ -10,7 +10,7 @@
 import attrs
 from returns.result import Failure, Result, Success
 
-from celerytrack.eras import Era, EraNews, EraWatch
+from celerytrack.eras import Era, EraStatus, EraTracker
 from celerytrack.platform.log_format import Batch, KeyedRecord, encode_keyed
 from celerytrack.platform.store import (
     CALL_TIMEOUT_S,
@@ -116,7 +116,7 @@
 
     def __init__(self, log: ModelLog) -> None:
         self.cut = False
-        self.eras = EraWatch()
+        self.eras = EraTracker()
         self._log = log
 
     async def newest(self, topic: str) -> Result[Batch, StoreError]:
@@ -191,7 +191,7 @@
             # Found out by the time limit.
             await asyncio.sleep(CALL_TIMEOUT_S)
             return _SILENCE
-        if self.eras.take(era, asked_at, time.monotonic()) is EraNews.LATE:
+        if self.eras.take(era, asked_at, time.monotonic()) is EraStatus.LATE:
             return Failure(StoreError(StoreErrorKind.OLDER_ERA, f"era {era}"))
         return result
 
--- a/src/celerytrack/member.py
+++ b/src/celerytrack/member.py
@@ -7,7 +7,7 @@
 
 from celerytrack.eras import Era
 from celerytrack.ids import AccountId, EntryId, Zone
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 
 LONG_SILENT_S = 60.0
 """An entry whose row is older than the newest by this is gone, whatever a copy of the
@@ -54,7 +54,7 @@
     clock_lead_s: float | None = None
     link_mbps: float = 0.0
     era: Era | None = None
-    shares: Mapping[AccountId, Row] = attrs.field(factory=dict)
+    shares: Mapping[AccountId, AccountClaim] = attrs.field(factory=dict)
 
     @property
     def made_at_s(self) -> float:
--- a/src/celerytrack/platform/rows.py
+++ b/src/celerytrack/platform/rows.py
@@ -9,7 +9,7 @@
 from celerytrack.eras import Era
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 
 _UNREADABLE = (
     ValueError,
@@ -47,12 +47,12 @@
     )
 
 
-def encode_shares(shares: Mapping[AccountId, Row]) -> bytes:
+def encode_shares(shares: Mapping[AccountId, AccountClaim]) -> bytes:
     """The bytes that :func:`decode_shares` reads."""
     return bytes(msgpack.packb(_share_fields(shares)))
 
 
-def decode_shares(raw: bytes) -> dict[AccountId, Row]:
+def decode_shares(raw: bytes) -> dict[AccountId, AccountClaim]:
     """Decode what an entry claims of each account.
 
     :raises RowError: naming what is wrong.
@@ -63,7 +63,9 @@
         raise RowError(f"shares: {type(exc).__name__}: {exc}") from exc
 
 
-def _share_fields(shares: Mapping[AccountId, Row]) -> dict[str, tuple[int, ...]]:
+def _share_fields(
+    shares: Mapping[AccountId, AccountClaim],
+) -> dict[str, tuple[int, ...]]:
     return {
         account: (
             row.claimed_tokens,
@@ -78,9 +80,9 @@
     }
 
 
-def _shares(fields: Any) -> dict[AccountId, Row]:
+def _shares(fields: Any) -> dict[AccountId, AccountClaim]:
     return {
-        AccountId(_text(account)): Row(*map(_whole, tokens))
+        AccountId(_text(account)): AccountClaim(*map(_whole, tokens))
         for account, tokens in fields.items()
     }
 
--- a/src/celerytrack/platform/store.py
+++ b/src/celerytrack/platform/store.py
@@ -15,7 +15,7 @@
 import attrs
 from returns.result import Failure, Result, Success
 
-from celerytrack.eras import Era, EraNews, EraWatch
+from celerytrack.eras import Era, EraStatus, EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.patient_http import patient_session
 from celerytrack.platform.log_format import (
@@ -104,9 +104,9 @@
     :param eras: told the era of each answer, and says which come too late.
     """
 
-    def __init__(self, address: str, eras: EraWatch | None = None) -> None:
+    def __init__(self, address: str, eras: EraTracker | None = None) -> None:
         self._base = f"http://{address}"
-        self._eras = EraWatch() if eras is None else eras
+        self._eras = EraTracker() if eras is None else eras
         self._unreadable_era = ""
         self._http: aiohttp.ClientSession | None = None
 
@@ -234,7 +234,7 @@
                     arriving.set()
                 data = await response.read()
                 era = self._era_of(response)
-                if self._eras.take(era, asked_at, time.monotonic()) is EraNews.LATE:
+                if self._eras.take(era, asked_at, time.monotonic()) is EraStatus.LATE:
                     return Failure(_older_era(era))
                 if response.status == 200:
                     return Success(data)
--- a/src/celerytrack/prepaid/__init__.py
+++ b/src/celerytrack/prepaid/__init__.py
@@ -37,6 +37,6 @@
 """
 
 from celerytrack.prepaid.budgets import PrepaidBudgets
-from celerytrack.prepaid.shares import Reservation, Row
+from celerytrack.prepaid.shares import AccountClaim, Reservation
 
-__all__ = ["PrepaidBudgets", "Reservation", "Row"]
+__all__ = ["AccountClaim", "PrepaidBudgets", "Reservation"]
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -9,15 +9,15 @@
 from celerytrack.prepaid.policy import (
     GIFT_SHARE,
     RESERVE_SHARE,
+    AccountUsage,
     ShareTarget,
-    Standing,
     goal,
     kept_tokens,
     next_claim,
 )
 from celerytrack.prepaid.restore_hold import RestoreHold, most
 from celerytrack.prepaid.rows import FoldedRows
-from celerytrack.prepaid.shares import Reservation, Row, Share
+from celerytrack.prepaid.shares import AccountClaim, Reservation, Share
 
 
 class PrepaidBudgets:
@@ -52,7 +52,7 @@
     def fold(
         self,
         entry: EntryId,
-        row: Mapping[AccountId, Row],
+        row: Mapping[AccountId, AccountClaim],
         era: Era | None = None,
     ) -> None:
         """Fold the newest row of ``entry``; ``{}`` if it was dropped.
@@ -92,11 +92,11 @@
         for account, row in self.rows.mine().items():
             self._shares[account] = Share.adopted(row, age_s)
 
-    def recall(self, row: Mapping[AccountId, Row]) -> None:
+    def recall(self, row: Mapping[AccountId, AccountClaim]) -> None:
         """Merge this entry's row as a peer knew it before the log was restored."""
         self.fold(self.rows.me, most(self.rows.mine(), row))
 
-    def free_beyond(self, left: Mapping[AccountId, Row], age_s: float) -> None:
+    def free_beyond(self, left: Mapping[AccountId, AccountClaim], age_s: float) -> None:
         """Free what :meth:`adopt` counted as spent but cannot have been spent.
 
         Called at most once, when the age that the row had at the certain end of the
@@ -229,7 +229,7 @@
             urgent |= self._plan_account(account, now_s)
         return urgent
 
-    def next_row(self, now_s: float) -> dict[AccountId, Row]:
+    def next_row(self, now_s: float) -> dict[AccountId, AccountClaim]:
         """Make the row to write now, and lower the allowances to it.
 
         :meth:`row_folded` must follow before the next call.
@@ -244,7 +244,7 @@
             # age are locked again under the new row, and a request that relies on
             # them would be refused.
             hand = floor + max(goal.hand_tokens, share.wanted_tokens)
-            row[account] = Row(
+            row[account] = AccountClaim(
                 claimed_tokens=share.claim_tokens,
                 hand_tokens=min(hand, share.claim_tokens),
                 used_tokens=share.used_tokens,
@@ -322,7 +322,7 @@
         share = self._share(account)
         return goal(
             share,
-            Standing(
+            AccountUsage(
                 usable_tokens=self._usable(account),
                 used_tokens=self._known_used(account),
                 lost_tokens=self._lost(account),
--- a/src/celerytrack/prepaid/own_row.py
+++ b/src/celerytrack/prepaid/own_row.py
@@ -7,7 +7,7 @@
 
 from celerytrack.ids import AccountId
 from celerytrack.prepaid.rows import FoldedRows
-from celerytrack.prepaid.shares import Row
+from celerytrack.prepaid.shares import AccountClaim
 
 
 class OwnRow:
@@ -18,7 +18,7 @@
 
     def __init__(self, rows: FoldedRows) -> None:
         self._rows = rows
-        self._in_flight: Mapping[AccountId, Row] | None = None
+        self._in_flight: Mapping[AccountId, AccountClaim] | None = None
         self._made_s = float("inf")
         # No row of this run is on the log until its first one is folded.
         self._published_made_s = float("inf")
@@ -28,11 +28,11 @@
         """Whether a row was sent and is not folded yet."""
         return self._in_flight is not None
 
-    def published(self, account: AccountId) -> Row:
+    def published(self, account: AccountId) -> AccountClaim:
         """The row of ``account`` on the log."""
-        return self._rows.mine().get(account, Row())
+        return self._rows.mine().get(account, AccountClaim())
 
-    def sent(self, row: Mapping[AccountId, Row], now_s: float) -> None:
+    def sent(self, row: Mapping[AccountId, AccountClaim], now_s: float) -> None:
         """Record that ``row`` was made at ``now_s`` and sent to the log."""
         self._in_flight = row
         self._made_s = now_s
@@ -69,5 +69,5 @@
         age_s = max(0.0, now_s - self._published_made_s)
         return self.published(account).free_in_s(tokens, age_s)
 
-    def _in_flight_row(self, account: AccountId) -> Row | None:
+    def _in_flight_row(self, account: AccountId) -> AccountClaim | None:
         return None if self._in_flight is None else self._in_flight.get(account)
--- a/src/celerytrack/prepaid/policy.py
+++ b/src/celerytrack/prepaid/policy.py
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen
-class Standing:
+class AccountUsage:
     """An account's use, as far as this entry knows.
 
     :ivar usable_tokens: the total less the share that is never claimed.
@@ -91,7 +91,7 @@
     row_time_s: float = 0.0
 
 
-def goal(share: Share, standing: Standing, now_s: float) -> ShareTarget:
+def goal(share: Share, standing: AccountUsage, now_s: float) -> ShareTarget:
     """What this entry's next row should offer of an account beyond its floor.
 
     The share follows the entry's part of the account's spend: clients keep
@@ -145,7 +145,7 @@
     return claim - (claim - need) // 2 if wanted_elsewhere else claim
 
 
-def _part(rate_tokens_per_s: float, standing: Standing) -> float:
+def _part(rate_tokens_per_s: float, standing: AccountUsage) -> float:
     """This entry's part of the account's spend rate."""
     rates = rate_tokens_per_s + standing.others_tokens_per_s
     return rate_tokens_per_s / rates if rates > 0 else 1.0 / standing.entries
--- a/src/celerytrack/prepaid/restore_hold.py
+++ b/src/celerytrack/prepaid/restore_hold.py
@@ -18,13 +18,13 @@
 
 from celerytrack.eras import Era
 from celerytrack.ids import AccountId, EntryId
-from celerytrack.prepaid.shares import Row
+from celerytrack.prepaid.shares import AccountClaim
 
 HOLD_S = 10.0
 """Longest wait for rows of the new era: an entry may be partitioned for 9 s. If it has
 written none by then, the claim of its last known row counts as spent."""
 
-Rows = Mapping[AccountId, Row]
+Rows = Mapping[AccountId, AccountClaim]
 
 
 class RestoreHold:
@@ -111,12 +111,14 @@
 def most(known: Rows, read: Rows) -> Rows:
     """The maximum of both rows' claims, uses and losses, per account."""
     return {
-        account: _max_row(known.get(account, Row()), read.get(account, Row()))
+        account: _max_row(
+            known.get(account, AccountClaim()), read.get(account, AccountClaim())
+        )
         for account in known.keys() | read.keys()
     }
 
 
-def _max_row(known: Row, read: Row) -> Row:
+def _max_row(known: AccountClaim, read: AccountClaim) -> AccountClaim:
     return attrs.evolve(
         known,
         claimed_tokens=max(known.claimed_tokens, read.claimed_tokens),
--- a/src/celerytrack/prepaid/rows.py
+++ b/src/celerytrack/prepaid/rows.py
@@ -5,7 +5,7 @@
 import attrs
 
 from celerytrack.ids import AccountId, EntryId
-from celerytrack.prepaid.shares import Row
+from celerytrack.prepaid.shares import AccountClaim
 
 
 @attrs.define
@@ -20,7 +20,7 @@
     rate_tokens_per_s: int = 0
     wanting: int = 0
 
-    def add(self, row: Row, times: int) -> None:
+    def add(self, row: AccountClaim, times: int) -> None:
         """Add ``row``, or subtract it with ``times`` -1."""
         self.used_tokens += times * row.used_tokens
         self.lost_tokens += times * row.lost_tokens
@@ -39,7 +39,7 @@
 
     def __init__(self, me: EntryId) -> None:
         self.me = me
-        self._rows: dict[EntryId, Mapping[AccountId, Row]] = {}
+        self._rows: dict[EntryId, Mapping[AccountId, AccountClaim]] = {}
         self._claimed: dict[AccountId, int] = {}
         self._others: dict[AccountId, RowSums] = {}
         self._unreadable: set[EntryId] = set()
@@ -49,7 +49,9 @@
         """Whether the claims of every row are known."""
         return not self._unreadable
 
-    def fold(self, entry: EntryId, row: Mapping[AccountId, Row]) -> set[AccountId]:
+    def fold(
+        self, entry: EntryId, row: Mapping[AccountId, AccountClaim]
+    ) -> set[AccountId]:
         """Store the newest row of ``entry``; the accounts whose claims it affects."""
         self._unreadable.discard(entry)
         old = self._rows.get(entry, {})
@@ -64,7 +66,7 @@
             self._sum(row, 1)
         return set(accounts)
 
-    def _sum(self, row: Mapping[AccountId, Row], times: int) -> None:
+    def _sum(self, row: Mapping[AccountId, AccountClaim], times: int) -> None:
         for account, published in row.items():
             self._others.setdefault(account, RowSums()).add(published, times)
 
@@ -76,7 +78,7 @@
         """The entries that have a row."""
         return set(self._rows)
 
-    def mine(self) -> Mapping[AccountId, Row]:
+    def mine(self) -> Mapping[AccountId, AccountClaim]:
         return self._rows.get(self.me, {})
 
     def claimed_tokens(self, account: AccountId) -> int:
@@ -96,7 +98,7 @@
         holding = (entry for entry, tokens in left.items() if tokens > 0)
         return sorted(holding, key=lambda e: left[e], reverse=True)
 
-    def _published(self, account: AccountId) -> dict[EntryId, Row]:
+    def _published(self, account: AccountId) -> dict[EntryId, AccountClaim]:
         return {
             entry: row[account]
             for entry, row in self._rows.items()
--- a/src/celerytrack/prepaid/shares.py
+++ b/src/celerytrack/prepaid/shares.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class Row:
+class AccountClaim:
     """What one entry publishes about one account; token counts are cumulative.
 
     :ivar claimed_tokens: upper bound of the entry's spend.
@@ -120,7 +120,7 @@
     largest_tokens: float = 0.0
 
     @classmethod
-    def adopted(cls, row: Row, age_s: float | None) -> "Share":
+    def adopted(cls, row: AccountClaim, age_s: float | None) -> "Share":
         """The share of an entry whose earlier run left ``row``.
 
         All that the earlier run may have spent counts as spent, because its use
@@ -138,7 +138,7 @@
             adopted_used_tokens=row.used_tokens,
         )
 
-    def free_beyond(self, row: Row, age_s: float) -> None:
+    def free_beyond(self, row: AccountClaim, age_s: float) -> None:
         """Free what :meth:`adopted` counted as spent before the maximum age ``age_s``
         of ``row`` was known."""
         beyond = min(row.claimed_tokens - row.limit_tokens(age_s), self.adopted_tokens)
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -17,7 +17,7 @@
     ENDPOINTS_TOPIC,
     ENTRIES_TOPIC,
 )
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 from tests.gateway_fleet import config
 from tests.restored_instance import ACCOUNT, Instance
 from tests.restored_log import RestoredLog
@@ -277,7 +277,9 @@
         alive = other.up and other.gateway.keeper is keeper
         return given if alive and not self.gifts_lost else 0
 
-    async def ask_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
+    async def ask_row(
+        self, address: str, me: EntryId
+    ) -> Mapping[AccountId, AccountClaim]:
         """Entry to entry: what is known of a row, which may be lost like a gift."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
@@ -349,7 +351,7 @@
             member = decode_member(instance.entry_id, newest[1])
             if member.era == self.log.era:
                 return 0
-            claimed = member.shares.get(ACCOUNT, Row()).claimed_tokens
+            claimed = member.shares.get(ACCOUNT, AccountClaim()).claimed_tokens
         return max(0, instance.share().accepted_tokens - claimed)
 
     @staticmethod
--- a/tests/restored_instance.py
+++ b/tests/restored_instance.py
@@ -4,7 +4,7 @@
 import random
 from unittest import mock
 
-from celerytrack.eras import EraWatch
+from celerytrack.eras import EraTracker
 from celerytrack.gateway.row_writer import FencedError
 from celerytrack.gateway.server import CONFIG_PAUSE_S, ENDPOINT_POLL_S
 from celerytrack.gateway.state import Gateway
@@ -64,7 +64,7 @@
     def start(self) -> None:
         """Start its process."""
 
-        def make_store(_: str, eras: EraWatch) -> RestoredStore:
+        def make_store(_: str, eras: EraTracker) -> RestoredStore:
             self.store = RestoredStore(self._log, eras, self._rng, self._tells)
             return self.store
 
--- a/tests/restored_log.py
+++ b/tests/restored_log.py
@@ -9,7 +9,7 @@
 import attrs
 from returns.result import Failure, Result, Success
 
-from celerytrack.eras import Era, EraNews, EraWatch
+from celerytrack.eras import Era, EraStatus, EraTracker
 from celerytrack.platform.log_format import Batch, KeyedRecord
 from celerytrack.platform.store import (
     CALL_TIMEOUT_S,
@@ -133,7 +133,7 @@
     """
 
     def __init__(
-        self, log: RestoredLog, eras: EraWatch, rng: random.Random, tells: bool
+        self, log: RestoredLog, eras: EraTracker, rng: random.Random, tells: bool
     ) -> None:
         self.cut = False
         self.lost_share = 0.0
@@ -211,7 +211,7 @@
                 result, era = await answered
         except TimeoutError:
             return Failure(StoreError(StoreErrorKind.UNREACHABLE, "no answer"))
-        if self._eras.take(era, asked_at, time.monotonic()) is EraNews.LATE:
+        if self._eras.take(era, asked_at, time.monotonic()) is EraStatus.LATE:
             return Failure(StoreError(StoreErrorKind.OLDER_ERA, f"era {era}"))
         return result
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -7,16 +7,16 @@
 
 from celerytrack.endpoint import Registration
 from celerytrack.endpoints import GONE_GRACE_S, EndpointBook, Registered
-from celerytrack.eras import REWRITTEN_S, Era, EraNews, EraWatch
+from celerytrack.eras import REWRITTEN_S, Era, EraStatus, EraTracker
 from celerytrack.ids import AccountId, EndpointId, EntryId, ServiceName, Zone
 from celerytrack.members import Member, MemberState, MemberView
 from celerytrack.platform.log_format import decode_era
 from celerytrack.platform.rows import decode_member, encode_member
-from celerytrack.prepaid import PrepaidBudgets, Row
+from celerytrack.prepaid import AccountClaim, PrepaidBudgets
 from celerytrack.prepaid.restore_hold import HOLD_S
 from celerytrack.strict import UnreadableError
 
-SAME, CHANGED, LATE = EraNews.SAME, EraNews.CHANGED, EraNews.LATE
+SAME, CHANGED, LATE = EraStatus.SAME, EraStatus.CHANGED, EraStatus.LATE
 A = AccountId("a")
 ME, PEER, THIRD = EntryId("me"), EntryId("peer"), EntryId("third")
 TOTAL = 100_000
@@ -43,13 +43,13 @@
     )
     def test_status_of_replies(self, replies):
         """Guards against a reply of an earlier era applied after one of the new era."""
-        watch = EraWatch()
+        watch = EraTracker()
         for era, changes, status in replies:
             self.assertIs(watch.take(era, changes, 0.0), status, (era, changes))
 
     @params((1, 2, True), (1, 3, False), (2, 1, False))
     def test_listeners_are_notified_first(self, old, new, expected):
-        watch = EraWatch()
+        watch = EraTracker()
         changes = []
         watch.on_change(changes.append)
         watch.take(Era(old), 0, 1.0)
@@ -74,8 +74,8 @@
     """Budgets with a large claim of a peer and a row of this entry, both of ``OLD``."""
     book = PrepaidBudgets(ME)
     book.set_totals({A: TOTAL})
-    book.fold(PEER, {A: Row(claimed, 5_000, 2_000)}, OLD)
-    book.fold(ME, {A: Row(own, own)}, OLD)
+    book.fold(PEER, {A: AccountClaim(claimed, 5_000, 2_000)}, OLD)
+    book.fold(ME, {A: AccountClaim(own, own)}, OLD)
     return book
 
 
@@ -91,11 +91,11 @@
 class RestoreGuardTest(unittest.TestCase):
     @params(
         # The row in the backup, its era, and the claim that counts.
-        ({A: Row(8_000, 8_000, 1_000)}, OLD, 30_000),
-        ({A: Row(50_000, 8_000, 1_000)}, OLD, 50_000),
-        ({A: Row(8_000, 8_000, 1_000)}, None, 30_000),
+        ({A: AccountClaim(8_000, 8_000, 1_000)}, OLD, 30_000),
+        ({A: AccountClaim(50_000, 8_000, 1_000)}, OLD, 50_000),
+        ({A: AccountClaim(8_000, 8_000, 1_000)}, None, 30_000),
         ({}, None, 30_000),
-        ({A: Row(8_000, 8_000, 1_000)}, NEW, 8_000),
+        ({A: AccountClaim(8_000, 8_000, 1_000)}, NEW, 8_000),
     )
     def test_only_its_owner_lowers_a_claim(self, row, era, counts):
         """Guards against spending the tokens of a claim twice that the backup lacks."""
@@ -120,12 +120,12 @@
     def test_no_allowance_rises_until_all_have_written(self, writers, at_s, rises):
         """Guards against claiming tokens that seem free because a claim was lost."""
         book = _book()
-        book.fold(THIRD, {A: Row(1_000, 1_000)}, OLD)
+        book.fold(THIRD, {A: AccountClaim(1_000, 1_000)}, OLD)
         book.rose(NEW, {PEER, THIRD}, 0.0)
         _write(book, NEW, 0.1)
         before = book._share(A).accepted_tokens
         for writer in writers:
-            book.fold(writer, {A: Row(1_000, 1_000)}, NEW)
+            book.fold(writer, {A: AccountClaim(1_000, 1_000)}, NEW)
         book.want(A, 20_000)
         _write(book, NEW, at_s)
         self.assertEqual(book._share(A).accepted_tokens > before, rises)
@@ -135,7 +135,7 @@
         than its owner."""
         book = _book()
         book.rose(NEW, {PEER}, 0.0)
-        book.fold(PEER, {A: Row(1_000, 1_000)}, OLD)
+        book.fold(PEER, {A: AccountClaim(1_000, 1_000)}, OLD)
         _write(book, NEW, 1.0)
         self.assertTrue(book.guard.holding)
         self.assertEqual(book.rows.claimed_tokens(A), 30_000)
@@ -171,9 +171,9 @@
     def test_another_restore_begins_a_new_hold(self):
         book = _book()
         book.rose(NEW, {PEER}, 0.0)
-        book.fold(PEER, {A: Row(40_000, 1_000)}, NEW)
+        book.fold(PEER, {A: AccountClaim(40_000, 1_000)}, NEW)
         book.rose(NEWER, {PEER}, 0.5)
-        book.fold(PEER, {A: Row(8_000, 1_000)}, NEW)
+        book.fold(PEER, {A: AccountClaim(8_000, 1_000)}, NEW)
         self.assertEqual(book.rows.claimed_tokens(A) - 10_000, 40_000)
         _write(book, NEWER, 1.0)
         self.assertTrue(book.guard.holding)
--- a/tests/test_escrow_model.py
+++ b/tests/test_escrow_model.py
@@ -25,7 +25,7 @@
 )
 from nose2.tools import params
 
-from celerytrack.escrow import EscrowBook, HeldGrant
+from celerytrack.escrow import Escrow, HeldGrant
 from celerytrack.ids import AccountId, EntryId, RequestId
 from celerytrack.ledger import Bill, BillOutcome, Ledger
 
@@ -45,7 +45,7 @@
         self.entry = entry
         self.boot_id = f"b{boot}"
         self.fold = Ledger()
-        self.book = EscrowBook(entry)
+        self.book = Escrow(entry)
         self.seq = 0
         self.requested: dict[str, HeldGrant] = {}
         self.bills: dict[int, Bill] = {}
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,7 +5,7 @@
 from nose2.tools import params
 
 from celerytrack.escrow import (
-    EscrowBook,
+    Escrow,
     HeldGrant,
     grant_size,
     plan_refill,
@@ -130,8 +130,8 @@
 
 
 class EscrowBookTest(unittest.TestCase):
-    def _book(self, *sizes: int) -> EscrowBook:
-        book = EscrowBook(EntryId("e1"))
+    def _book(self, *sizes: int) -> Escrow:
+        book = Escrow(EntryId("e1"))
         for i, size in enumerate(sizes):
             book.add(HeldGrant(GrantId(f"g{i}"), A, size, usable_until_s=100.0))
         return book
@@ -212,7 +212,7 @@
         self.assertEqual((got.grant_tokens, got.others_tokens), (grant, others))
 
     def test_the_rate_is_that_of_recent_reservations(self):
-        book = EscrowBook(EntryId("e1"))
+        book = Escrow(EntryId("e1"))
         book.add(HeldGrant(GrantId("g"), A, 100_000, usable_until_s=1000.0))
         for i in range(200):
             book.reserve(RequestId(f"r{i}"), A, 100, float(i))
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -15,8 +15,8 @@
     MemberView,
     choose_addresses,
 )
-from celerytrack.prepaid import PrepaidBudgets, Row
-from celerytrack.prepaid.policy import Standing, goal
+from celerytrack.prepaid import AccountClaim, PrepaidBudgets
+from celerytrack.prepaid.policy import AccountUsage, goal
 from celerytrack.prepaid.rows import FoldedRows, RowSums
 from celerytrack.prepaid.shares import FRESH_S, OUTAGE_S, Share
 from celerytrack.row_age import (
@@ -45,7 +45,7 @@
     return book
 
 
-def _write(book: PrepaidBudgets, entries: int, now_s: float) -> Row:
+def _write(book: PrepaidBudgets, entries: int, now_s: float) -> AccountClaim:
     book.plan(entries, now_s)
     row = book.next_row(now_s)
     book.fold(ME, row)
@@ -155,7 +155,7 @@
         book.adopt(None)
         book.plan(2, 0.0)
         row = book.next_row(0.0)
-        book.fold(PEER, {A: Row(TOTAL, TOTAL)})
+        book.fold(PEER, {A: AccountClaim(TOTAL, TOTAL)})
         book.fold(ME, row)
         book.row_folded()
         self.assertEqual(book.left_tokens(A, OLD_S), 0)
@@ -172,7 +172,7 @@
         book.adopt(None)
         _write(book, 2, 0.0)
         self.assertEqual(book.left_tokens(A, OLD_S), 0)
-        book.fold(PEER, {A: Row()})
+        book.fold(PEER, {A: AccountClaim()})
         book.row_folded()
         self.assertGreater(book.left_tokens(A, OLD_S), 0)
 
@@ -184,7 +184,7 @@
         refused while other entries without clients held most of the total."""
         idle, busy = _book(), PrepaidBudgets(PEER)
         first = _write(idle, 2, 0.0).claimed_tokens
-        idle.fold(PEER, {A: Row(60_000, 50_000, 40_000, 0, 0, 4_000)})
+        idle.fold(PEER, {A: AccountClaim(60_000, 50_000, 40_000, 0, 0, 4_000)})
         later = _write(idle, 2, 1.0).claimed_tokens
         self.assertLess(later, first / 2)
         busy.set_totals({A: TOTAL})
@@ -217,7 +217,7 @@
         free tokens, and less than a quarter of the requests were served."""
         book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
-        book.fold(PEER, {A: Row(98_000, 98_000, 98_000)})
+        book.fold(PEER, {A: AccountClaim(98_000, 98_000, 98_000)})
         book.adopt(None)
         book.reserve(A, 1_500, 0.0, urgent)
         _write(book, 2, 0.0)
@@ -235,7 +235,7 @@
     def test_can_claim(self, claimed, tokens, urgent, expected):
         book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
-        book.fold(PEER, {A: Row(claimed, claimed, claimed)})
+        book.fold(PEER, {A: AccountClaim(claimed, claimed, claimed)})
         self.assertIs(book.may_claim(A, tokens, urgent), expected)
 
     @params((0.0, True), (OLD_S, False))
@@ -272,7 +272,7 @@
     def test_only_known_use_exhausts_a_total(self, used, claimed, cost, expected):
         book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
-        book.fold(PEER, {A: Row(claimed, claimed, used)})
+        book.fold(PEER, {A: AccountClaim(claimed, claimed, used)})
         self.assertIs(book.exhausted(A, cost), expected)
 
 
@@ -286,7 +286,7 @@
     def test_what_may_have_been_spent_counts_as_spent(self, age_s, expected):
         book = PrepaidBudgets(ME)
         book.set_totals({A: 10_050})
-        book.fold(ME, {A: Row(10_000, 3_000, 1_000, pace_tokens_per_s=500)})
+        book.fold(ME, {A: AccountClaim(10_000, 3_000, 1_000, pace_tokens_per_s=500)})
         book.adopt(age_s)
         self.assertLessEqual(book.left_tokens(A, 0.1), 0)
         book.return_unspent()
@@ -295,7 +295,7 @@
     def test_what_cannot_have_been_spent_is_freed(self):
         book = PrepaidBudgets(ME)
         book.set_totals({A: 10_050})
-        left = {A: Row(10_000, 3_000, 1_000, pace_tokens_per_s=500)}
+        left = {A: AccountClaim(10_000, 3_000, 1_000, pace_tokens_per_s=500)}
         book.fold(ME, left)
         book.adopt(None)
         book.free_beyond(left, FRESH_S + 1.0)
@@ -384,7 +384,7 @@
     apart, each worth 10 s of the account's spend there. In a partition of all entries
     each was refused, and a power loss of 3 s cost the account 4 s of its spend."""
 
-    row = Row(claimed_tokens=12_000, hand_tokens=0, pace_tokens_per_s=800)
+    row = AccountClaim(claimed_tokens=12_000, hand_tokens=0, pace_tokens_per_s=800)
 
     def test_a_prompt_of_10_s_of_spend_is_served_within_half_a_partition(self):
         self.assertLess(self.row.free_in_s(8_000, 0.0), 4.5)
@@ -579,7 +579,7 @@
             _member(entry),
             front_address=str(mbps),
             link_mbps=mbps,
-            shares={A: Row(rate_tokens_per_s=rate)} if rate else {},
+            shares={A: AccountClaim(rate_tokens_per_s=rate)} if rate else {},
         )
         view.fold(member, 0.0)
     return view
@@ -654,7 +654,7 @@
     def test_immediate_tokens_are_a_share_of_the_unspent(self, used, least, most):
         share = Share()
         share.spend(10_000, 10.0)
-        standing = Standing(
+        standing = AccountUsage(
             usable_tokens=1_000_000,
             used_tokens=int(used * 1_000_000),
             lost_tokens=0,
@@ -672,7 +672,7 @@
             share = Share()
             share.spend(rate, 10.0)
             rate_now = share.rate_tokens_per_s(10.0)
-            standing = Standing(1_000_000, 400_000, 0, 5_100.0 - rate_now, 3)
+            standing = AccountUsage(1_000_000, 400_000, 0, 5_100.0 - rate_now, 3)
             immediate.append(goal(share, standing, 10.0).hand_tokens)
         self.assertLess(sum(immediate), 0.06 * 600_000)
 
@@ -686,7 +686,9 @@
         for _ in range(500):
             entry = rng.choice(entries)
             accounts = rng.sample([A, AccountId("b"), AccountId("c")], rng.randrange(4))
-            row = {a: Row(*(rng.randrange(3) for _ in range(7))) for a in accounts}
+            row = {
+                a: AccountClaim(*(rng.randrange(3) for _ in range(7))) for a in accounts
+            }
             folded.fold(entry, row)
             newest[entry] = row
             rows = [r[A] for e, r in newest.items() if A in r and e != ME]
--- a/tests/test_prepaid_model.py
+++ b/tests/test_prepaid_model.py
@@ -26,7 +26,7 @@
 
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
-from celerytrack.prepaid import PrepaidBudgets, Reservation, Row
+from celerytrack.prepaid import AccountClaim, PrepaidBudgets, Reservation
 from celerytrack.row_age import age_at_start_s
 
 LONG_S = 5.0
@@ -210,7 +210,7 @@
         if self.assumes_new:
             age_s = 0.0
         if self.ignores_claim:
-            m.book.fold(m.entry, {ACCOUNT: Row()})
+            m.book.fold(m.entry, {ACCOUNT: AccountClaim()})
         m.book.adopt(age_s)
 
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -9,7 +9,7 @@
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
-from celerytrack.prepaid import PrepaidBudgets, Row
+from celerytrack.prepaid import AccountClaim, PrepaidBudgets
 from tests.gateway_fleet import Fleet
 
 T = AccountId("t")
@@ -45,15 +45,15 @@
     def test_what_is_recalled_counts_as_spent(self) -> None:
         book = PrepaidBudgets(ME)
         book.set_totals({T: 1_000})
-        book.fold(ME, {T: Row(claimed_tokens=100, used_tokens=50)}, Era(1))
-        book.recall({T: Row(claimed_tokens=400, used_tokens=300)})
-        book.recall({T: Row(claimed_tokens=200, used_tokens=350)})
+        book.fold(ME, {T: AccountClaim(claimed_tokens=100, used_tokens=50)}, Era(1))
+        book.recall({T: AccountClaim(claimed_tokens=400, used_tokens=300)})
+        book.recall({T: AccountClaim(claimed_tokens=200, used_tokens=350)})
         book.adopt(None)
         self.assertEqual(book.rows.mine()[T].claimed_tokens, 400)
         self.assertLessEqual(book.left_tokens(T, 0.0), 0)
 
     def test_shares_are_read_as_written_and_nothing_else_is(self) -> None:
-        shares = {T: Row(claimed_tokens=5, used_tokens=2)}
+        shares = {T: AccountClaim(claimed_tokens=5, used_tokens=2)}
         self.assertEqual(decode_shares(encode_shares(shares)), shares)
         for raw in (b"", b"\x01", b"\x81\xa1t\x01", b"\x81\xa1t\x91\xc3"):
             with self.assertRaises(RowError):
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -11,7 +11,7 @@
 from celerytrack.gateway.share_keeper import ShareKeeper
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 
 A = AccountId("a")
 ME, PEER = EntryId("me"), EntryId("peer")
@@ -33,7 +33,7 @@
 def _keeper(gifts: _Gifts, held_elsewhere: int) -> ShareKeeper:
     keeper = ShareKeeper(None, ME, "front", "peer", Zone("z"), gifts, 0.0)
     keeper.book.set_totals({A: TOTAL})
-    shares = {A: Row(held_elsewhere, held_elsewhere, 0)}
+    shares = {A: AccountClaim(held_elsewhere, held_elsewhere, 0)}
     keeper._fold(Member(PEER, 1, "f", "p", Zone("z"), SERVING, 0.0))
     keeper.book.fold(PEER, shares)
     return keeper
@@ -106,7 +106,7 @@
         keeper = _keeper(gifts, TOTAL)
         for name in "bcdef":
             keeper._fold(Member(EntryId(name), 1, "f", "p", Zone("z"), SERVING, 0.0))
-            keeper.book.fold(EntryId(name), {A: Row(0, 0, 0)})
+            keeper.book.fold(EntryId(name), {A: AccountClaim(0, 0, 0)})
         started_s = time.monotonic()
         got = asyncio.run(keeper.reservations.reserve(A, 1_000, urgent=False))
         self.assertIsNone(got)
@@ -159,7 +159,7 @@
             name, share = EntryId(f"e{i}"), TOTAL // entries
             member = Member(name, 1, "f", f"p{i}", Zone("z"), SERVING, 0.0)
             keeper._fold(member)
-            keeper.book.fold(name, {A: Row(share, share, 0)})
+            keeper.book.fold(name, {A: AccountClaim(share, share, 0)})
         reserve = keeper.reservations.reserve
         got = [asyncio.run(reserve(A, 1_000, urgent=False)) for _ in range(entries)]
         self.assertNotIn(None, got)
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -21,7 +21,7 @@
     ENDPOINTS_TOPIC,
     ENTRIES_TOPIC,
 )
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 from tests.gateway_fleet import SEAL, Endpoint, Fleet, client_of, config
 from tests.keyed_log import KeyedLog
 
@@ -43,7 +43,9 @@
 
 def _row(i: int) -> bytes:
     """The row of an entry with 24 accounts."""
-    shares = {AccountId(f"account-{n}"): Row(100_000 + i, 9, 9, 9) for n in range(24)}
+    shares = {
+        AccountId(f"account-{n}"): AccountClaim(100_000 + i, 9, 9, 9) for n in range(24)
+    }
     address = "10.1.0.40:8227"
     serving = MemberState.SERVING
     member = Member(EntryId("e"), 1, address, address, Zone("z"), serving, float(i))
