--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -65,7 +65,7 @@
             lead_s = members.prompt_clock_lead_s(clock_offset_s())
             age_s = age_beside_others_s(left, mine, lead_s)
         if age_s is not None:
-            book.free_beyond(left.shares, age_s)
+            book.free_adopted(left.shares, age_s)
             log_event(
                 _log,
                 Event.SHARES_FREED,
--- a/src/celerytrack/platform/rows.py
+++ b/src/celerytrack/platform/rows.py
@@ -69,12 +69,12 @@
     return {
         account: (
             row.claimed_tokens,
-            row.hand_tokens,
+            row.immediate_tokens,
             row.used_tokens,
             row.wanted_tokens,
             row.lost_tokens,
             row.rate_tokens_per_s,
-            row.pace_tokens_per_s,
+            row.unlock_tokens_per_s,
         )
         for account, row in shares.items()
     }
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -7,13 +7,13 @@
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.prepaid.own_row import OwnRow
 from celerytrack.prepaid.policy import (
-    GIFT_SHARE,
-    RESERVE_SHARE,
+    TRANSFER_SHARE,
+    UNCLAIMED_SHARE,
     AccountUsage,
     ShareTarget,
-    goal,
-    kept_tokens,
     next_claim,
+    share_target,
+    urgent_reserve_tokens,
 )
 from celerytrack.prepaid.restore_hold import RestoreHold, most
 from celerytrack.prepaid.rows import FoldedRows
@@ -96,7 +96,9 @@
         """Merge this entry's row as a peer knew it before the log was restored."""
         self.fold(self.rows.me, most(self.rows.mine(), row))
 
-    def free_beyond(self, left: Mapping[AccountId, AccountClaim], age_s: float) -> None:
+    def free_adopted(
+        self, left: Mapping[AccountId, AccountClaim], age_s: float
+    ) -> None:
         """Free what :meth:`adopt` counted as spent but cannot have been spent.
 
         Called at most once, when the age that the row had at the certain end of the
@@ -106,7 +108,7 @@
         :param age_s: that age.
         """
         for account, row in left.items():
-            self._share(account).free_beyond(row, age_s)
+            self._share(account).free_adopted(row, age_s)
 
     # -- requests ----------------------------------------------------------
 
@@ -140,7 +142,7 @@
         accepted = self._share(account).accepted_tokens
         room = accepted if self.guard.holding else self._room(account)
         if not urgent:
-            room -= kept_tokens(self._totals.get(account, 0))
+            room -= urgent_reserve_tokens(self._totals.get(account, 0))
         return self._share(account).floor_tokens + tokens <= max(room, accepted)
 
     def may_free(self, account: AccountId, now_s: float) -> bool:
@@ -197,21 +199,21 @@
     def give(self, account: AccountId, tokens: int, now_s: float) -> int:
         """Transfer up to ``tokens`` to another entry; returns how many."""
         given = min(tokens, self.givable_tokens(account, now_s))
-        self._share(account).gifted_tokens += given
+        self._share(account).transferred_out_tokens += given
         return given
 
     def givable_tokens(self, account: AccountId, now_s: float) -> int:
         """Tokens that could be transferred to another entry now."""
-        return max(0, int(self.left_tokens(account, now_s) * GIFT_SHARE))
+        return max(0, int(self.left_tokens(account, now_s) * TRANSFER_SHARE))
 
     @staticmethod
     def enough_to_give(tokens: int) -> int:
         """Tokens that must be available so that ``tokens`` can be transferred."""
-        return math.ceil(tokens / GIFT_SHARE)
+        return math.ceil(tokens / TRANSFER_SHARE)
 
     def receive(self, account: AccountId, tokens: int) -> None:
         """Add ``tokens`` that another entry transferred."""
-        self._share(account).received_tokens += tokens
+        self._share(account).transferred_in_tokens += tokens
 
     # -- planning ----------------------------------------------------------
 
@@ -239,21 +241,21 @@
             floor = share.floor_tokens
             share.claim_tokens = max(share.claim_tokens, floor)
             share.accepted_tokens = min(share.accepted_tokens, share.claim_tokens)
-            goal = self._goal(account, now_s)
+            target = self._target(account, now_s)
             # The wanted tokens count in full: those that the last row unlocked with
             # age are locked again under the new row, and a request that relies on
             # them would be refused.
-            hand = floor + max(goal.hand_tokens, share.wanted_tokens)
+            immediate = floor + max(target.immediate_tokens, share.wanted_tokens)
             row[account] = AccountClaim(
                 claimed_tokens=share.claim_tokens,
-                hand_tokens=min(hand, share.claim_tokens),
+                immediate_tokens=min(immediate, share.claim_tokens),
                 used_tokens=share.used_tokens,
                 wanted_tokens=max(
                     0, share.wanted_tokens - (share.claim_tokens - floor)
                 ),
                 lost_tokens=share.lost_tokens,
                 rate_tokens_per_s=int(share.rate_tokens_per_s(now_s)),
-                pace_tokens_per_s=goal.pace_tokens_per_s,
+                unlock_tokens_per_s=target.unlock_tokens_per_s,
             )
             share.wanted_tokens = 0
         self._own.sent(row, now_s)
@@ -309,18 +311,18 @@
             kept = 0 if self._leaving else share.accepted_tokens
             share.claim_tokens = max(kept, floor)
             return share.wanted_tokens > 0
-        goal = self._goal(account, now_s)
+        target = self._target(account, now_s)
         share.claim_tokens = next_claim(
-            share, goal, room, self._totals[account], self._wanted_elsewhere(account)
+            share, target, room, self._totals[account], self._wanted_elsewhere(account)
         )
         share.urgent_tokens = 0
         return share.wanted_tokens > 0
 
-    def _goal(self, account: AccountId, now_s: float) -> ShareTarget:
+    def _target(self, account: AccountId, now_s: float) -> ShareTarget:
         if self._leaving:
             return ShareTarget(0, 0, 0)
         share = self._share(account)
-        return goal(
+        return share_target(
             share,
             AccountUsage(
                 usable_tokens=self._usable(account),
@@ -350,7 +352,7 @@
         return self.rows.others(account).lost_tokens + self._share(account).lost_tokens
 
     def _usable(self, account: AccountId) -> int:
-        return int(self._totals.get(account, 0) * (1 - RESERVE_SHARE))
+        return int(self._totals.get(account, 0) * (1 - UNCLAIMED_SHARE))
 
     def _free(self, account: AccountId) -> int:
         return self._usable(account) - self.rows.claimed_tokens(account)
--- a/src/celerytrack/prepaid/shares.py
+++ b/src/celerytrack/prepaid/shares.py
@@ -9,20 +9,20 @@
 RATE_WINDOW_S = 8.0
 """Time constant of the spend rate: long enough to span the gaps between large
 prompts, short enough to follow an account whose traffic multiplies."""
-FRESH_S = 1.7
+UNLOCK_DELAY_S = 1.7
 """Age of the row up to which an entry spends only its immediate tokens. An instance
 that lost power has restarted by then, so a power loss of the whole fleet costs only the
 immediate tokens. During a partition these cover requests until more unlocks."""
-OUTAGE_S = 3.5
+OUTAGE_AGE_S = 3.5
 """A row older than this is late because the log is unavailable. A killed process, or
 an instance that lost power for seconds, has restarted by then, so tokens that unlock
 later are not lost to a restart."""
-OUTAGE_TIMES = 9.0
-"""Factor on the unlock rate of a row older than :data:`OUTAGE_S`, because outages are
-what the claim is for. One entry sees a small account's long prompts far apart, each
+OUTAGE_UNLOCK_FACTOR = 9.0
+"""Factor on the unlock rate of a row older than :data:`OUTAGE_AGE_S`, because outages
+are what the claim is for. One entry sees a small account's long prompts far apart, each
 worth many seconds of the account's spend there. At the normal rate the first of them
 would be refused until the partition ends."""
-LARGEST_DECAY_S = 20.0
+LARGEST_HALF_LIFE_S = 20.0
 """Half-life of the size of an account's largest request."""
 
 
@@ -31,26 +31,26 @@
     """What one entry publishes about one account; token counts are cumulative.
 
     :ivar claimed_tokens: upper bound of the entry's spend.
-    :ivar hand_tokens: upper bound of its spend when the row was made.
+    :ivar immediate_tokens: upper bound of its spend when the row was made.
     :ivar used_tokens: known spend; a lower bound for other entries.
     :ivar wanted_tokens: what its waiting requests lack.
     :ivar lost_tokens: claimed by its earlier runs and perhaps not used.
     :ivar rate_tokens_per_s: how fast the entry spends the account.
-    :ivar pace_tokens_per_s: tokens that unlock per second of the row's age.
+    :ivar unlock_tokens_per_s: tokens that unlock per second of the row's age.
     """
 
     claimed_tokens: int = 0
-    hand_tokens: int = 0
+    immediate_tokens: int = 0
     used_tokens: int = 0
     wanted_tokens: int = 0
     lost_tokens: int = 0
     rate_tokens_per_s: int = 0
-    pace_tokens_per_s: int = 0
+    unlock_tokens_per_s: int = 0
 
     def limit_tokens(self, age_s: float) -> int:
         """The most that may be spent under this row at the age of ``age_s``."""
-        unlocked_tokens = int(self.pace_tokens_per_s * _unlocked_s(age_s))
-        return min(self.claimed_tokens, self.hand_tokens + unlocked_tokens)
+        unlocked_tokens = int(self.unlock_tokens_per_s * _unlocked_s(age_s))
+        return min(self.claimed_tokens, self.immediate_tokens + unlocked_tokens)
 
     def free_in_s(self, tokens: int, age_s: float) -> float | None:
         """Seconds until ``tokens`` in total may be spent; ``None`` if never.
@@ -61,24 +61,24 @@
             return None
         if tokens <= self.limit_tokens(age_s):
             return 0.0
-        if not self.pace_tokens_per_s:
+        if not self.unlock_tokens_per_s:
             return None
-        unlocked_s = (tokens - self.hand_tokens) / self.pace_tokens_per_s
+        unlocked_s = (tokens - self.immediate_tokens) / self.unlock_tokens_per_s
         return max(0.0, _age_when_unlocked_s(unlocked_s) - age_s)
 
 
 def _unlocked_s(age_s: float) -> float:
     """Seconds of spend that a row of this age has unlocked."""
-    outage_s = max(0.0, age_s - OUTAGE_S)
-    return max(0.0, age_s - FRESH_S) + (OUTAGE_TIMES - 1) * outage_s
+    outage_s = max(0.0, age_s - OUTAGE_AGE_S)
+    return max(0.0, age_s - UNLOCK_DELAY_S) + (OUTAGE_UNLOCK_FACTOR - 1) * outage_s
 
 
 def _age_when_unlocked_s(unlocked_s: float) -> float:
     """The inverse of :func:`_unlocked_s`."""
-    before_s = OUTAGE_S - FRESH_S
+    before_s = OUTAGE_AGE_S - UNLOCK_DELAY_S
     if unlocked_s <= before_s:
-        return FRESH_S + unlocked_s
-    return OUTAGE_S + (unlocked_s - before_s) / OUTAGE_TIMES
+        return UNLOCK_DELAY_S + unlocked_s
+    return OUTAGE_AGE_S + (unlocked_s - before_s) / OUTAGE_UNLOCK_FACTOR
 
 
 @attrs.frozen
@@ -96,8 +96,8 @@
     :ivar claim_tokens: what the next row claims.
     :ivar accepted_tokens: upper bound of the spend whatever the row's age: a claim
         on the log that was seen to fit.
-    :ivar gifted_tokens: transferred to other entries under this entry's row.
-    :ivar received_tokens: transferred to this entry under their rows.
+    :ivar transferred_out_tokens: transferred to other entries under this entry's row.
+    :ivar transferred_in_tokens: transferred to this entry under their rows.
     :ivar wanted_tokens: the largest request since the last row that could not be
         covered here; ``urgent_tokens`` the largest of the most urgent ones.
     :ivar adopted_tokens: part of ``spent_tokens`` that an earlier run of this entry
@@ -107,8 +107,8 @@
     claim_tokens: int = 0
     accepted_tokens: int = 0
     spent_tokens: int = 0
-    gifted_tokens: int = 0
-    received_tokens: int = 0
+    transferred_out_tokens: int = 0
+    transferred_in_tokens: int = 0
     adopted_tokens: int = 0
     adopted_used_tokens: int = 0
     reserved_tokens: int = 0
@@ -138,7 +138,7 @@
             adopted_used_tokens=row.used_tokens,
         )
 
-    def free_beyond(self, row: AccountClaim, age_s: float) -> None:
+    def free_adopted(self, row: AccountClaim, age_s: float) -> None:
         """Free what :meth:`adopted` counted as spent before the maximum age ``age_s``
         of ``row`` was known."""
         beyond = min(row.claimed_tokens - row.limit_tokens(age_s), self.adopted_tokens)
@@ -148,8 +148,8 @@
     @property
     def floor_tokens(self) -> int:
         """The least that this entry's row must claim."""
-        gifts = self.gifted_tokens - self.received_tokens
-        return self.spent_tokens + self.reserved_tokens + gifts
+        transferred = self.transferred_out_tokens - self.transferred_in_tokens
+        return self.spent_tokens + self.reserved_tokens + transferred
 
     @property
     def used_tokens(self) -> int:
@@ -181,5 +181,5 @@
         """Decay the spend rate and the largest request size up to ``now_s``."""
         past_s = max(0.0, now_s - self.rated_at_s)
         self.spend_tokens_per_s *= math.exp(-past_s / RATE_WINDOW_S)
-        self.largest_tokens *= 0.5 ** (past_s / LARGEST_DECAY_S)
+        self.largest_tokens *= 0.5 ** (past_s / LARGEST_HALF_LIFE_S)
         self.rated_at_s = now_s
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -16,9 +16,9 @@
     choose_addresses,
 )
 from celerytrack.prepaid import AccountClaim, PrepaidBudgets
-from celerytrack.prepaid.policy import AccountUsage, goal
+from celerytrack.prepaid.policy import AccountUsage, share_target
 from celerytrack.prepaid.rows import FoldedRows, RowSums
-from celerytrack.prepaid.shares import FRESH_S, OUTAGE_S, Share
+from celerytrack.prepaid.shares import OUTAGE_AGE_S, UNLOCK_DELAY_S, Share
 from celerytrack.row_age import (
     age_at_power_s,
     age_at_start_s,
@@ -81,9 +81,9 @@
         tokens counted as spent, however short the time: 7 to 11 % of every total."""
         book = _book()
         row = _write(book, 2, 0.0)
-        ages_s = (FRESH_S, FRESH_S + 0.2, 2.0, 4.0, OLD_S)
+        ages_s = (UNLOCK_DELAY_S, UNLOCK_DELAY_S + 0.2, 2.0, 4.0, OLD_S)
         left = [book.left_tokens(A, age_s) for age_s in ages_s]
-        self.assertEqual(left[0], row.hand_tokens)
+        self.assertEqual(left[0], row.immediate_tokens)
         self.assertEqual(left, sorted(set(left)))
         self.assertEqual(left[-1], row.claimed_tokens)
 
@@ -103,7 +103,7 @@
     def test_free_in_s_is_when_the_tokens_unlock(self, more):
         book = _book()
         row = _write(book, 2, 0.0)
-        tokens = row.hand_tokens + more
+        tokens = row.immediate_tokens + more
         after_s = book.free_in_s(A, tokens, 0.5)
         self.assertLess(book.left_tokens(A, 0.5 + after_s - 0.01), tokens + (more == 0))
         self.assertGreaterEqual(book.left_tokens(A, 0.5 + after_s + 0.01), tokens)
@@ -116,11 +116,11 @@
         second old, and the request still lacked what that second had unlocked."""
         book = _book()
         row = _write(book, 2, 0.0)
-        free = book.left_tokens(A, OUTAGE_S)
-        self.assertGreater(free, row.hand_tokens)
-        self.assertIsNone(book.reserve(A, free + 10, OUTAGE_S))
-        _write(book, 2, OUTAGE_S)
-        self.assertIsNotNone(book.reserve(A, free + 10, OUTAGE_S))
+        free = book.left_tokens(A, OUTAGE_AGE_S)
+        self.assertGreater(free, row.immediate_tokens)
+        self.assertIsNone(book.reserve(A, free + 10, OUTAGE_AGE_S))
+        _write(book, 2, OUTAGE_AGE_S)
+        self.assertIsNotNone(book.reserve(A, free + 10, OUTAGE_AGE_S))
 
     def test_a_row_in_flight_and_the_folded_row_both_limit(self):
         """Guards against a limit taken from the newest row alone. A row that allows
@@ -129,12 +129,14 @@
         so the total is overspent."""
         book = _book()
         before = _write(book, 2, 0.0)
-        reservation = book.reserve(A, before.hand_tokens, 0.1)
+        reservation = book.reserve(A, before.immediate_tokens, 0.1)
         self.assertIsNotNone(reservation)
         self.assertIsNone(book.reserve(A, 3_000, 0.1))
         book.plan(2, 0.1)
-        self.assertGreater(book.next_row(0.1)[A].hand_tokens, before.limit_tokens(0.1))
-        spendable = before.limit_tokens(0.1) - before.hand_tokens
+        self.assertGreater(
+            book.next_row(0.1)[A].immediate_tokens, before.limit_tokens(0.1)
+        )
+        spendable = before.limit_tokens(0.1) - before.immediate_tokens
         self.assertEqual(book.left_tokens(A, 0.1), spendable)
 
     def test_a_row_in_flight_lowers_the_limit_and_never_raises_it(self):
@@ -279,14 +281,14 @@
 class AdoptTest(unittest.TestCase):
     @params(
         (0.0, 3_000),
-        (FRESH_S + 1.0, 3_500),
-        (OUTAGE_S, 3_000 + round(500 * (OUTAGE_S - FRESH_S))),
+        (UNLOCK_DELAY_S + 1.0, 3_500),
+        (OUTAGE_AGE_S, 3_000 + round(500 * (OUTAGE_AGE_S - UNLOCK_DELAY_S))),
         (None, 10_000),
     )
     def test_what_may_have_been_spent_counts_as_spent(self, age_s, expected):
         book = PrepaidBudgets(ME)
         book.set_totals({A: 10_050})
-        book.fold(ME, {A: AccountClaim(10_000, 3_000, 1_000, pace_tokens_per_s=500)})
+        book.fold(ME, {A: AccountClaim(10_000, 3_000, 1_000, unlock_tokens_per_s=500)})
         book.adopt(age_s)
         self.assertLessEqual(book.left_tokens(A, 0.1), 0)
         book.return_unspent()
@@ -295,10 +297,10 @@
     def test_what_cannot_have_been_spent_is_freed(self):
         book = PrepaidBudgets(ME)
         book.set_totals({A: 10_050})
-        left = {A: AccountClaim(10_000, 3_000, 1_000, pace_tokens_per_s=500)}
+        left = {A: AccountClaim(10_000, 3_000, 1_000, unlock_tokens_per_s=500)}
         book.fold(ME, left)
         book.adopt(None)
-        book.free_beyond(left, FRESH_S + 1.0)
+        book.free_adopted(left, UNLOCK_DELAY_S + 1.0)
         book.return_unspent()
         self.assertEqual(book.next_row(0.1)[A].claimed_tokens, 3_500)
 
@@ -384,7 +386,9 @@
     apart, each worth 10 s of the account's spend there. In a partition of all entries
     each was refused, and a power loss of 3 s cost the account 4 s of its spend."""
 
-    row = AccountClaim(claimed_tokens=12_000, hand_tokens=0, pace_tokens_per_s=800)
+    row = AccountClaim(
+        claimed_tokens=12_000, immediate_tokens=0, unlock_tokens_per_s=800
+    )
 
     def test_a_prompt_of_10_s_of_spend_is_served_within_half_a_partition(self):
         self.assertLess(self.row.free_in_s(8_000, 0.0), 4.5)
@@ -654,14 +658,14 @@
     def test_immediate_tokens_are_a_share_of_the_unspent(self, used, least, most):
         share = Share()
         share.spend(10_000, 10.0)
-        standing = AccountUsage(
+        usage = AccountUsage(
             usable_tokens=1_000_000,
             used_tokens=int(used * 1_000_000),
             lost_tokens=0,
             others_tokens_per_s=0.0,
             entries=20,
         )
-        immediate = goal(share, standing, 10.0).hand_tokens
+        immediate = share_target(share, usage, 10.0).immediate_tokens
         self.assertGreaterEqual(immediate, least * 1_000_000)
         self.assertLessEqual(immediate, most * 1_000_000)
 
@@ -672,8 +676,8 @@
             share = Share()
             share.spend(rate, 10.0)
             rate_now = share.rate_tokens_per_s(10.0)
-            standing = AccountUsage(1_000_000, 400_000, 0, 5_100.0 - rate_now, 3)
-            immediate.append(goal(share, standing, 10.0).hand_tokens)
+            usage = AccountUsage(1_000_000, 400_000, 0, 5_100.0 - rate_now, 3)
+            immediate.append(share_target(share, usage, 10.0).immediate_tokens)
         self.assertLess(sum(immediate), 0.06 * 600_000)
 
 
