--- a/bench/rows_bench.py
+++ b/bench/rows_bench.py
@@ -58,9 +58,9 @@
 
     def write() -> None:
         book.plan(entries, 1.0)
-        row = book.next_row(1.0)
+        row = book.make_row(1.0)
         book.fold(EntryId("me"), row)
-        book.row_folded()
+        book.confirm_row()
 
     return {
         "read_us": _each_us(1, read) / len(rows),
--- a/src/celerytrack/eras.py
+++ b/src/celerytrack/eras.py
@@ -14,7 +14,7 @@
 
 Era = NewType("Era", int)
 
-REWRITTEN_S = 2.0
+REWRITE_GRACE_S = 2.0
 """Time after a restore within which others rewrite their records that the log lost."""
 
 
@@ -103,4 +103,4 @@
 
     def rewritten(self, at_s: float) -> bool:
         """Whether a read at ``at_s`` includes the lost records, rewritten by others."""
-        return at_s >= self._restored_s + REWRITTEN_S
+        return at_s >= self._restored_s + REWRITE_GRACE_S
--- a/src/celerytrack/escrow.py
+++ b/src/celerytrack/escrow.py
@@ -208,11 +208,11 @@
         return self._tokens * math.exp((self._at_s - now_s) / _RATE_WINDOW_S)
 
 
-HELD_SHARE = 2
-"""An entry holds at most this fraction (one half) of its held and the free tokens
-together. The held tokens count, because a burst at one entry could otherwise take grant
-after grant until the entry held nearly all tokens. If it then died or were partitioned,
-every other entry would refuse requests."""
+HELD_DIVISOR = 2
+"""An entry holds at most half of its held and the free tokens together. The held tokens
+count, because a burst at one entry could otherwise take grant after grant until the
+entry held nearly all tokens. If it then died or were partitioned, every other entry
+would refuse requests."""
 
 
 def grant_size(
@@ -226,7 +226,7 @@
     :param usual_tokens: the default size of a grant.
     :returns: a size no larger than ``free_tokens``; 0 if nothing can be granted.
     """
-    share = (available_tokens + free_tokens) // HELD_SHARE - available_tokens
+    share = (available_tokens + free_tokens) // HELD_DIVISOR - available_tokens
     usual = min(usual_tokens, share)
     return max(0, min(free_tokens, max(missing_tokens, usual)))
 
@@ -279,7 +279,7 @@
     first_seen_s: Mapping[GrantId, float],
     gone: Iterable[EntryId],
     me: EntryId,
-    ended_boots: Container[str],
+    ended_boot_ids: Container[str],
     lease_s: float,
     now_s: float,
 ) -> list[GrantId]:
@@ -296,7 +296,7 @@
 
     :param first_seen_s: when this entry folded each grant.
     :param gone: entries that the platform lists as gone.
-    :param ended_boots: boot ids of earlier runs of this entry, known at its start.
+    :param ended_boot_ids: boot ids of earlier runs of this entry, known at its start.
         Not all boot ids but the present one: two runs that overlap during a
         replacement would reclaim each other's grants in turn.
     """
@@ -304,7 +304,7 @@
 
     def ended(grant: OpenGrant) -> bool:
         if grant.entry == me:
-            return grant.boot_id in ended_boots
+            return grant.boot_id in ended_boot_ids
         seen_s = first_seen_s.get(grant.grant_id, now_s)
         return grant.entry in departed and now_s - seen_s >= lease_s
 
--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -107,7 +107,7 @@
     facts, account = exchange.facts, exchange.account
     tokens = facts.input_tokens + facts.output_tokens
     book = gateway.keeper.book
-    if account is None or not tokens or not book.limited(account):
+    if account is None or not tokens or not book.is_limited(account):
         return None
     table = gateway.table
     urgent = table is not None and exchange.route.priority <= table.most_urgent
@@ -136,10 +136,10 @@
     :param total_known: whether the total may not have been raised unheard of.
     """
     book = keeper.book
-    if total_known and book.exhausted(account, tokens):
+    if total_known and book.is_exhausted(account, tokens):
         detail = f"{tokens} tokens do not fit what is left"
         return did_not_run(Reason.BUDGET_EXHAUSTED, None, detail)
-    detail = f"{tokens} tokens, {book.left_tokens(account, now_s)} in hand here"
+    detail = f"{tokens} tokens, {book.available_tokens(account, now_s)} in hand here"
     after_s = TOKENS_RETURN_S
     if not keeper.reachable:
         free_s = book.free_in_s(account, tokens, now_s)
@@ -153,7 +153,7 @@
         return
     book = gateway.keeper.book
     if not exchange.may_have_run:
-        book.unreserve(held)
+        book.release(held)
         return
     assert gateway.table is not None
     service = gateway.table.services.get(exchange.service)
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -8,9 +8,9 @@
 from celerytrack.members import Member, MemberView
 from celerytrack.prepaid import PrepaidBudgets
 from celerytrack.row_age import (
-    age_at_power_s,
+    age_after_power_loss_s,
     age_at_start_s,
-    age_beside_others_s,
+    age_by_peer_clocks_s,
 )
 
 _log = logging.getLogger(__name__)
@@ -60,10 +60,10 @@
             return
         rows = members.members()
         others = [row for entry, row in rows.items() if entry != members.me]
-        age_s = age_at_power_s(left, mine, others)
+        age_s = age_after_power_loss_s(left, mine, others)
         if age_s is None:
             lead_s = members.prompt_clock_lead_s(clock_offset_s())
-            age_s = age_beside_others_s(left, mine, lead_s)
+            age_s = age_by_peer_clocks_s(left, mine, lead_s)
         if age_s is not None:
             book.free_adopted(left.shares, age_s)
             log_event(
@@ -71,7 +71,7 @@
                 Event.SHARES_FREED,
                 age_s=age_s,
                 others=len(others),
-                lost=book.lost(),
+                lost=book.lost_tokens(),
             )
         elif time.monotonic() - self._started_s < RECONSIDER_S:
             return
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -87,9 +87,9 @@
         while True:
             now_s = time.monotonic()
             held = self._book.reserve(account, tokens, now_s, urgent)
-            if held is not None or self._book.exhausted(account, tokens):
+            if held is not None or self._book.is_exhausted(account, tokens):
                 return held
-            may_claim = self._book.may_claim(account, tokens, urgent)
+            may_claim = self._book.can_claim(account, tokens, urgent)
             soon_s = self._rows.soon_s
             left_s = started_s + _patience_s(may_claim, asked, soon_s) - now_s
             if left_s > 0 and self._rows.prompt(now_s):
@@ -107,22 +107,22 @@
         the claim, and the asking entry would get the rest nowhere else.
         """
         now_s = time.monotonic()
-        short = self._book.givable_tokens(account, now_s) < tokens
-        more = self._book.may_free(account, now_s)
+        short = self._book.transferable_tokens(account, now_s) < tokens
+        more = self._book.has_locked_tokens(account, now_s)
         if short and more and self._rows.prompt(now_s):
-            self._book.want(account, self._book.enough_to_give(tokens))
+            self._book.request_claim(account, self._book.required_to_transfer(tokens))
             await self._rows.next_row(FIRST_WAIT_S)
-        return self._book.give(account, tokens, time.monotonic())
+        return self._book.transfer_out(account, tokens, time.monotonic())
 
     def _dry(self, account: AccountId, tokens: int, now_s: float) -> bool:
         """Whether the others just did not have what would be missing now."""
         missing, until_s = self._lacking.get(account, (math.inf, 0.0))
-        lacked = tokens - self._book.left_tokens(account, now_s)
+        lacked = tokens - self._book.available_tokens(account, now_s)
         return now_s < until_s and lacked >= missing
 
     async def _ask(self, account: AccountId, tokens: int, now_s: float) -> None:
         """Ask the entries that probably hold most for what is missing."""
-        missing = tokens - self._book.left_tokens(account, now_s)
+        missing = tokens - self._book.available_tokens(account, now_s)
         ends_s = now_s + ASKING_S
         asked = self._whom_to_ask(account, now_s)
         for entry in asked:
@@ -132,7 +132,7 @@
             if member is None:
                 continue
             given = await self._gifts.ask(member.peer_address, account, missing)
-            self._book.receive(account, given)
+            self._book.transfer_in(account, given)
             if given < missing:
                 emptied_until_s = time.monotonic() + EMPTIED_S
                 self._emptied_until_s[account, entry] = emptied_until_s
@@ -142,7 +142,7 @@
 
     def _whom_to_ask(self, account: AccountId, now_s: float) -> list[EntryId]:
         """The entries that probably hold most, without those just emptied."""
-        held = self._book.rows.richest(account)
+        held = self._book.rows.entries_by_unspent(account)
         until_s = self._emptied_until_s
         full = [e for e in held if until_s.get((account, e), now_s) <= now_s]
         return full[:MOST_ASKED]
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -37,7 +37,7 @@
         _log,
         Event.ERA_CLAIMS_HELD,
         era=era,
-        held_s=round(guard.held_s, 3),
+        held_s=round(guard.duration_s, 3),
         missing=sorted(guard.missing)[:LOGGED_MOST],
-        kept=guard.kept,
+        kept=guard.retained_count,
     )
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -158,7 +158,7 @@
 
     async def _peer(self, request: web.BaseRequest) -> web.StreamResponse:
         keeper = self._gateway.keeper
-        give, known = keeper.reservations.give, keeper.book.guard.known
+        give, known = keeper.reservations.give, keeper.book.restore_hold.known_row
         return await answer_peer(give, known, request)
 
     async def _metrics(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -36,7 +36,7 @@
 from celerytrack.platform.rows import RowError, decode_member, encode_member
 from celerytrack.platform.topics import ENTRIES_TOPIC
 from celerytrack.prepaid import PrepaidBudgets
-from celerytrack.row_rate import RowRateLimiter, beat_interval_s
+from celerytrack.row_rate import RowRateLimiter, heartbeat_interval_s
 
 _log = logging.getLogger(__name__)
 
@@ -121,7 +121,7 @@
     def soon_s(self) -> float:
         """How long a row may be on its way and still be worth waiting for: a store
         that is slow, and not away, brings it in twice its usual time."""
-        return max(SLOW_APPEND_S, 2 * self.book.row_time_s)
+        return max(SLOW_APPEND_S, 2 * self.book.row_round_trip_s)
 
     async def next_row(self, timeout_s: float) -> None:
         """Have a row written soon, and wait for it for ``timeout_s``."""
@@ -142,7 +142,7 @@
             division = self.members.division(now_s)
             entries = division.allowances
             urgent = self._plan(division.parts, now_s)
-            interval_s = beat_interval_s(entries)
+            interval_s = heartbeat_interval_s(entries)
             if urgent or self._row_due or now_s - written_s >= interval_s:
                 self._row_due = False
                 log_event(_log, Event.SHARES, shares=self.book.summary(now_s))
@@ -191,7 +191,7 @@
             Event.SHARES_TAKEN_OVER,
             epoch=self._writer.epoch,
             age_s=age_s,
-            lost=self.book.lost(),
+            lost=self.book.lost_tokens(),
             last_made_s=last.made_s if last else None,
             started_s=self._started_s,
             clock_moved_s=clock_offset_s() - last.clock_offset_s if last else None,
@@ -206,13 +206,13 @@
         others = self.members.live(time.monotonic())[:MOST_ASKED]
         asked = (self._gifts.ask_row(m.peer_address, self._entry_id) for m in others)
         for row in await asyncio.gather(*asked):
-            self.book.recall(row)
+            self.book.merge_own_row(row)
 
     def _plan(self, parts: float, now_s: float) -> bool:
-        held = self.book.guard.holding
+        held = self.book.restore_hold.active
         urgent = self.book.plan(parts, now_s)
-        if held and not self.book.guard.holding:
-            log_hold_over(self.book.guard, self._eras.known)
+        if held and not self.book.restore_hold.active:
+            log_hold_over(self.book.restore_hold, self._eras.known)
         return urgent
 
     async def _write_row(self) -> None:
@@ -240,7 +240,7 @@
             clock_lead_s=self.members.clock_lead_s(offset_s),
             link_mbps=self.members.link_mbps,
             era=self._eras.known,
-            shares=self.book.next_row(now_s),
+            shares=self.book.make_row(now_s),
         )
         self._sent_s = now_s
         changes = self._eras.changes
@@ -259,7 +259,7 @@
         self._sent_s = None
         self._learn_row_time(time.monotonic() - now_s)
         self.members.read_ok(time.monotonic())
-        self.book.row_folded()
+        self.book.confirm_row()
         self._rows_folded = self._rows_made
         self._last_row.reconsider(member, self.members, self.book)
         self._notify()
@@ -267,8 +267,8 @@
     def _learn_row_time(self, took_s: float) -> None:
         # A row that was sent again through an outage tells nothing of the next.
         took_s = min(took_s, WAIT_TOKENS_S)
-        known_s = self.book.row_time_s
-        self.book.row_time_s = known_s + ROW_TIME_GAIN * (took_s - known_s)
+        known_s = self.book.row_round_trip_s
+        self.book.row_round_trip_s = known_s + ROW_TIME_GAIN * (took_s - known_s)
 
     # -- a log that came back from a copy -------------------------------------
 
@@ -278,7 +278,7 @@
         if not self.started:
             alive = set(self._rows_of_other_eras())
         awaited = alive - {self._entry_id}
-        self.book.rose(change.new, awaited, change.seen_at_s)
+        self.book.on_log_restored(change.new, awaited, change.seen_at_s)
         log_restored(change, self._tail.next_offset, awaited)
         self._wake.set()
 
@@ -319,7 +319,7 @@
         try:
             self._fold(decode_member(record.key, record.value))
         except RowError as exc:
-            self.book.unreadable(EntryId(record.key))
+            self.book.mark_unreadable(EntryId(record.key))
             log_event(_log, Event.ROW_REJECTED, logging.ERROR, detail=str(exc))
 
     def _fold(self, member: Member) -> None:
@@ -336,7 +336,7 @@
             self._later_start_seen |= member.started_at_s > started_at_s
 
     def _reload(self, keys: set[str]) -> None:
-        self.book.keep_only({EntryId(key) for key in keys})
+        self.book.retain_entries({EntryId(key) for key in keys})
 
     def _contact(self, answered: bool) -> None:
         self._tail.reachable = answered
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -51,7 +51,7 @@
             await asyncio.sleep(ASK_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
-        return other.keeper.book.guard.known(me)
+        return other.keeper.book.restore_hold.known_row(me)
 
 
 class ModelEntry:
--- a/src/celerytrack/ledger.py
+++ b/src/celerytrack/ledger.py
@@ -37,12 +37,12 @@
 from celerytrack._recent import RecentKeys
 from celerytrack.ids import AccountId, EntryId, GrantId, RequestId
 
-REMEMBERED = 20_000
+MAX_REMEMBERED_IDS = 20_000
 """Request ids and top-up ids that are kept: the window in which a client's retry at
 another entry is recognised (71 s at 281 requests/s, 8 min at 40/s)."""
-REMEMBERED_INTENTS = 10_000
+MAX_REMEMBERED_INTENTS = 10_000
 """Intents of non-idempotent calls that are kept, with their responses."""
-REMEMBERED_WRITERS = 5_000
+MAX_REMEMBERED_WRITERS = 5_000
 """Entry processes whose last sequence number is kept."""
 
 
@@ -145,7 +145,7 @@
 
 
 def _recent() -> RecentKeys:
-    return RecentKeys(REMEMBERED)
+    return RecentKeys(MAX_REMEMBERED_IDS)
 
 
 @attrs.define
@@ -238,7 +238,7 @@
             return True
         self.writers[writer] = seq
         self.writers.move_to_end(writer)
-        if len(self.writers) > REMEMBERED_WRITERS:
+        if len(self.writers) > MAX_REMEMBERED_WRITERS:
             self.writers.popitem(last=False)
         return False
 
@@ -310,7 +310,7 @@
                 # a late copy of the record must not free a call that ran since.
                 if known == Intent(claim_id):
                     del self.intents[key]
-        while len(self.intents) > REMEMBERED_INTENTS:
+        while len(self.intents) > MAX_REMEMBERED_INTENTS:
             self.intents.popitem(last=False)
 
     def _restore(self, record: Mapping[str, Any]) -> None:
@@ -319,8 +319,8 @@
         }
         grants = [OpenGrant(*item) for item in record["grants"]]
         self.grants = {g.grant_id: g for g in grants}
-        self.topups = RecentKeys(REMEMBERED, record["topups"])
-        self.billed = RecentKeys(REMEMBERED, record["billed"])
+        self.topups = RecentKeys(MAX_REMEMBERED_IDS, record["topups"])
+        self.billed = RecentKeys(MAX_REMEMBERED_IDS, record["billed"])
         self.intents = OrderedDict(
             (key, Intent(claim_id, IntentState(state), answer))
             for key, claim_id, state, answer in record["intents"]
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -16,7 +16,7 @@
 from celerytrack.ids import EntryId, Zone
 from celerytrack.links import least_link_mbps
 from celerytrack.member import Member, MemberState, older_row
-from celerytrack.row_rate import beat_interval_s
+from celerytrack.row_rate import heartbeat_interval_s
 
 SILENT_BEATS = 3.5
 """An entry is silent after this many intervals: one row may be lost and the
@@ -78,7 +78,7 @@
 
 
 def _silent_s(entries: int) -> float:
-    return max(SILENT_LEAST_S, beat_interval_s(entries) * SILENT_BEATS)
+    return max(SILENT_LEAST_S, heartbeat_interval_s(entries) * SILENT_BEATS)
 
 
 PROMPT_ROWS = 3
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -15,7 +15,7 @@
     share_target,
     urgent_reserve_tokens,
 )
-from celerytrack.prepaid.restore_hold import RestoreHold, most
+from celerytrack.prepaid.restore_hold import RestoreHold, merge_max
 from celerytrack.prepaid.rows import FoldedRows
 from celerytrack.prepaid.shares import AccountClaim, Reservation, Share
 
@@ -24,7 +24,7 @@
     """The folded rows of all entries, and this entry's own share of each account.
 
     :param me: this entry, which is also the key of its row.
-    :ivar row_time_s: how long it takes to append a row and read it back.
+    :ivar row_round_trip_s: how long it takes to append a row and read it back.
     """
 
     def __init__(self, me: EntryId) -> None:
@@ -33,9 +33,9 @@
         self._shares: dict[AccountId, Share] = {}
         self._own = OwnRow(self.rows)
         self._entries = 1.0
-        self.row_time_s = 0.0
+        self.row_round_trip_s = 0.0
         self._leaving = False
-        self.guard = RestoreHold(me)
+        self.restore_hold = RestoreHold(me)
 
     # -- configured totals and folded rows --------------------------------
 
@@ -59,26 +59,28 @@
 
         :param era: the era that the owner knew when it made the row.
         """
-        for account in self.rows.fold(entry, self.guard.take(entry, row, era)):
+        for account in self.rows.fold(
+            entry, self.restore_hold.merge_row(entry, row, era)
+        ):
             self._accept(account)
 
-    def rose(self, era: Era, awaited: Set[EntryId], now_s: float) -> None:
+    def on_log_restored(self, era: Era, awaited: Set[EntryId], now_s: float) -> None:
         """Hold all allowances: the log was restored from an older backup.
 
         :param awaited: the entries that may be alive.
         """
-        self.guard.rose(era, awaited, now_s)
+        self.restore_hold.begin(era, awaited, now_s)
 
-    def unreadable(self, entry: EntryId) -> None:
+    def mark_unreadable(self, entry: EntryId) -> None:
         """Record that the newest row of ``entry`` cannot be decoded.
 
         Its claims are unknown, so no allowance rises until it can be decoded.
         Ignoring the row would allocate its tokens twice, for example while
         entries of two releases run side by side.
         """
-        self.rows.unreadable(entry)
+        self.rows.mark_unreadable(entry)
 
-    def keep_only(self, entries: set[EntryId]) -> None:
+    def retain_entries(self, entries: set[EntryId]) -> None:
         """Drop the rows of all but ``entries``, which still have one on the log."""
         for entry in self.rows.entries() - entries:
             self.fold(entry, {})
@@ -89,12 +91,12 @@
         :param age_s: the row's age when that run had certainly ended; ``None`` if
             unknown.
         """
-        for account, row in self.rows.mine().items():
+        for account, row in self.rows.own_row().items():
             self._shares[account] = Share.adopted(row, age_s)
 
-    def recall(self, row: Mapping[AccountId, AccountClaim]) -> None:
+    def merge_own_row(self, row: Mapping[AccountId, AccountClaim]) -> None:
         """Merge this entry's row as a peer knew it before the log was restored."""
-        self.fold(self.rows.me, most(self.rows.mine(), row))
+        self.fold(self.rows.me, merge_max(self.rows.own_row(), row))
 
     def free_adopted(
         self, left: Mapping[AccountId, AccountClaim], age_s: float
@@ -112,7 +114,7 @@
 
     # -- requests ----------------------------------------------------------
 
-    def limited(self, account: AccountId) -> bool:
+    def is_limited(self, account: AccountId) -> bool:
         """Whether ``account`` has a prepaid total."""
         return account in self._totals
 
@@ -125,33 +127,33 @@
         """
         share = self._share(account)
         share.largest_tokens = max(share.largest_tokens, float(tokens))
-        if tokens > self.left_tokens(account, now_s):
-            self.want(account, tokens)
+        if tokens > self.available_tokens(account, now_s):
+            self.request_claim(account, tokens)
             if urgent:
                 share.urgent_tokens = max(share.urgent_tokens, tokens)
             return None
         share.reserved_tokens += tokens
         return Reservation(account, tokens)
 
-    def may_claim(self, account: AccountId, tokens: int, urgent: bool) -> bool:
+    def can_claim(self, account: AccountId, tokens: int, urgent: bool) -> bool:
         """Whether a row of this entry could provide ``tokens``, as far as known.
 
         :param urgent: whether the request is of the most urgent kind; the last tokens
             are claimed only for such requests.
         """
         accepted = self._share(account).accepted_tokens
-        room = accepted if self.guard.holding else self._room(account)
+        room = accepted if self.restore_hold.active else self._room(account)
         if not urgent:
             room -= urgent_reserve_tokens(self._totals.get(account, 0))
         return self._share(account).floor_tokens + tokens <= max(room, accepted)
 
-    def may_free(self, account: AccountId, now_s: float) -> bool:
+    def has_locked_tokens(self, account: AccountId, now_s: float) -> bool:
         """Whether a new row would unlock more of what this entry has claimed."""
         share = self._share(account)
         locked = share.accepted_tokens - share.floor_tokens
-        return locked > self.left_tokens(account, now_s)
+        return locked > self.available_tokens(account, now_s)
 
-    def want(self, account: AccountId, tokens: int) -> None:
+    def request_claim(self, account: AccountId, tokens: int) -> None:
         """Ask for ``tokens`` of ``account`` as immediate tokens of the next row."""
         share = self._share(account)
         share.wanted_tokens = max(share.wanted_tokens, tokens)
@@ -167,11 +169,11 @@
         share.reserved_tokens -= held.tokens
         share.spend(used, now_s)
 
-    def unreserve(self, held: Reservation) -> None:
+    def release(self, held: Reservation) -> None:
         """Free the whole reservation of a request that did not run."""
         self._share(held.account).reserved_tokens -= held.tokens
 
-    def exhausted(self, account: AccountId, tokens: int) -> bool:
+    def is_exhausted(self, account: AccountId, tokens: int) -> bool:
         """Whether ``tokens`` certainly exceed what is left of the total.
 
         Only known use counts, which is a lower bound: tokens that other entries
@@ -179,7 +181,7 @@
         """
         return self._known_used(account) + tokens > self._totals.get(account, 0)
 
-    def left_tokens(self, account: AccountId, now_s: float) -> int:
+    def available_tokens(self, account: AccountId, now_s: float) -> int:
         """Tokens of ``account`` that can be reserved here at ``now_s``."""
         share = self._share(account)
         limit = min(share.accepted_tokens, self._own.limit_tokens(account, now_s))
@@ -196,22 +198,22 @@
 
     # -- transfers between entries -----------------------------------------
 
-    def give(self, account: AccountId, tokens: int, now_s: float) -> int:
+    def transfer_out(self, account: AccountId, tokens: int, now_s: float) -> int:
         """Transfer up to ``tokens`` to another entry; returns how many."""
-        given = min(tokens, self.givable_tokens(account, now_s))
+        given = min(tokens, self.transferable_tokens(account, now_s))
         self._share(account).transferred_out_tokens += given
         return given
 
-    def givable_tokens(self, account: AccountId, now_s: float) -> int:
+    def transferable_tokens(self, account: AccountId, now_s: float) -> int:
         """Tokens that could be transferred to another entry now."""
-        return max(0, int(self.left_tokens(account, now_s) * TRANSFER_SHARE))
+        return max(0, int(self.available_tokens(account, now_s) * TRANSFER_SHARE))
 
     @staticmethod
-    def enough_to_give(tokens: int) -> int:
+    def required_to_transfer(tokens: int) -> int:
         """Tokens that must be available so that ``tokens`` can be transferred."""
         return math.ceil(tokens / TRANSFER_SHARE)
 
-    def receive(self, account: AccountId, tokens: int) -> None:
+    def transfer_in(self, account: AccountId, tokens: int) -> None:
         """Add ``tokens`` that another entry transferred."""
         self._share(account).transferred_in_tokens += tokens
 
@@ -225,16 +227,16 @@
         :returns: whether requests wait for the next row.
         """
         self._entries = max(1.0, entries)
-        self.guard.expire(now_s)
+        self.restore_hold.end_if_due(now_s)
         urgent = False
         for account in self._totals:
             urgent |= self._plan_account(account, now_s)
         return urgent
 
-    def next_row(self, now_s: float) -> dict[AccountId, AccountClaim]:
+    def make_row(self, now_s: float) -> dict[AccountId, AccountClaim]:
         """Make the row to write now, and lower the allowances to it.
 
-        :meth:`row_folded` must follow before the next call.
+        :meth:`confirm_row` must follow before the next call.
         """
         row = {}
         for account, share in self._shares.items():
@@ -258,19 +260,19 @@
                 unlock_tokens_per_s=target.unlock_tokens_per_s,
             )
             share.wanted_tokens = 0
-        self._own.sent(row, now_s)
+        self._own.mark_sent(row, now_s)
         return row
 
-    def row_folded(self) -> None:
-        """Record that the row of :meth:`next_row` is on the log and was folded."""
-        self._own.folded()
+    def confirm_row(self) -> None:
+        """Record that the row of :meth:`make_row` is on the log and was folded."""
+        self._own.mark_folded()
         for account in self._shares:
             self._accept(account)
 
     @property
-    def row_on_its_way(self) -> bool:
+    def has_row_in_flight(self) -> bool:
         """Whether a row was made and is not folded yet."""
-        return self._own.on_its_way
+        return self._own.is_in_flight
 
     def return_unspent(self) -> None:
         """Claim no more than is spent or reserved, because this entry is leaving."""
@@ -287,12 +289,12 @@
                 total,
                 self.rows.claimed_tokens(account),
                 self._known_used(account),
-                self.left_tokens(account, now_s),
+                self.available_tokens(account, now_s),
             )
             for account, total in self._totals.items()
         }
 
-    def lost(self) -> dict[AccountId, int]:
+    def lost_tokens(self) -> dict[AccountId, int]:
         """Tokens per account that an earlier run claimed and may not have used."""
         shares = self._shares.items()
         return {a: s.lost_tokens for a, s in shares if s.lost_tokens}
@@ -306,7 +308,7 @@
             # The claim does not fit. If it stayed, it would block the others' claims.
             share.claim_tokens = max(share.accepted_tokens, floor)
             return True
-        if self.guard.holding:
+        if self.restore_hold.active:
             # A claim that was not accepted is made again after the hold.
             kept = 0 if self._leaving else share.accepted_tokens
             share.claim_tokens = max(kept, floor)
@@ -330,13 +332,15 @@
                 lost_tokens=self._lost(account),
                 others_tokens_per_s=self.rows.others(account).rate_tokens_per_s,
                 entries=self._entries,
-                row_time_s=self.row_time_s,
+                row_round_trip_s=self.row_round_trip_s,
             ),
             now_s,
         )
 
     def _wanted_elsewhere(self, account: AccountId) -> bool:
-        return self.rows.others(account).wanting > 0 and self._free(account) <= 0
+        return (
+            self.rows.others(account).wanting_entries > 0 and self._free(account) <= 0
+        )
 
     # -- internals ---------------------------------------------------------
 
@@ -366,7 +370,7 @@
         share = self._share(account)
         if share.accepted_tokens >= share.claim_tokens:
             return
-        if self.guard.holding:
+        if self.restore_hold.active:
             return
         if not self.rows.all_readable or self._free(account) < 0:
             return
--- a/src/celerytrack/prepaid/own_row.py
+++ b/src/celerytrack/prepaid/own_row.py
@@ -24,20 +24,20 @@
         self._published_made_s = float("inf")
 
     @property
-    def on_its_way(self) -> bool:
+    def is_in_flight(self) -> bool:
         """Whether a row was sent and is not folded yet."""
         return self._in_flight is not None
 
     def published(self, account: AccountId) -> AccountClaim:
         """The row of ``account`` on the log."""
-        return self._rows.mine().get(account, AccountClaim())
+        return self._rows.own_row().get(account, AccountClaim())
 
-    def sent(self, row: Mapping[AccountId, AccountClaim], now_s: float) -> None:
+    def mark_sent(self, row: Mapping[AccountId, AccountClaim], now_s: float) -> None:
         """Record that ``row`` was made at ``now_s`` and sent to the log."""
         self._in_flight = row
         self._made_s = now_s
 
-    def folded(self) -> None:
+    def mark_folded(self) -> None:
         """Record that the row in flight is on the log and was folded."""
         self._in_flight = None
         self._published_made_s = self._made_s
--- a/src/celerytrack/prepaid/policy.py
+++ b/src/celerytrack/prepaid/policy.py
@@ -81,7 +81,7 @@
     :ivar others_tokens_per_s: how fast the other entries spend the account.
     :ivar entries: how many parts like this entry's the account is divided into until
         the spend rates are known.
-    :ivar row_time_s: how long it takes to append a row and read it back.
+    :ivar row_round_trip_s: how long it takes to append a row and read it back.
     """
 
     usable_tokens: int
@@ -89,7 +89,7 @@
     lost_tokens: int
     others_tokens_per_s: float
     entries: float
-    row_time_s: float = 0.0
+    row_round_trip_s: float = 0.0
 
 
 def share_target(share: Share, usage: AccountUsage, now_s: float) -> ShareTarget:
@@ -107,7 +107,7 @@
     largest_requests = share.largest_tokens * LARGEST_REQUESTS_COVERED / usage.entries
     progress = usage.used_tokens / max(1.0, usage.usable_tokens * INITIAL_PHASE_SHARE)
     equal_share = unspent * max(IDLE_SHARE, 1.0 - progress) / usage.entries
-    immediate_s = max(IMMEDIATE_S, IMMEDIATE_ROUND_TRIPS * usage.row_time_s)
+    immediate_s = max(IMMEDIATE_S, IMMEDIATE_ROUND_TRIPS * usage.row_round_trip_s)
     initial_immediate = (
         equal_share * INITIAL_IMMEDIATE_SHARE * immediate_s / IMMEDIATE_S
     )
--- a/src/celerytrack/prepaid/rows.py
+++ b/src/celerytrack/prepaid/rows.py
@@ -12,20 +12,20 @@
 class RowSums:
     """RowSums over the rows of several entries for one account.
 
-    :ivar wanting: how many of the entries lack tokens.
+    :ivar wanting_entries: how many of the entries lack tokens.
     """
 
     used_tokens: int = 0
     lost_tokens: int = 0
     rate_tokens_per_s: int = 0
-    wanting: int = 0
+    wanting_entries: int = 0
 
     def add(self, row: AccountClaim, times: int) -> None:
         """Add ``row``, or subtract it with ``times`` -1."""
         self.used_tokens += times * row.used_tokens
         self.lost_tokens += times * row.lost_tokens
         self.rate_tokens_per_s += times * row.rate_tokens_per_s
-        self.wanting += times * (row.wanted_tokens > 0)
+        self.wanting_entries += times * (row.wanted_tokens > 0)
 
 
 class FoldedRows:
@@ -70,7 +70,7 @@
         for account, published in row.items():
             self._others.setdefault(account, RowSums()).add(published, times)
 
-    def unreadable(self, entry: EntryId) -> None:
+    def mark_unreadable(self, entry: EntryId) -> None:
         """Record that the newest row of ``entry`` cannot be decoded."""
         self._unreadable.add(entry)
 
@@ -78,7 +78,7 @@
         """The entries that have a row."""
         return set(self._rows)
 
-    def mine(self) -> Mapping[AccountId, AccountClaim]:
+    def own_row(self) -> Mapping[AccountId, AccountClaim]:
         return self._rows.get(self.me, {})
 
     def claimed_tokens(self, account: AccountId) -> int:
@@ -89,7 +89,7 @@
         """RowSums over the other entries' rows of ``account``."""
         return self._others.get(account, RowSums())
 
-    def richest(self, account: AccountId) -> list[EntryId]:
+    def entries_by_unspent(self, account: AccountId) -> list[EntryId]:
         """The other entries that probably hold tokens of ``account``, largest first."""
         left = {
             entry: row.claimed_tokens - row.used_tokens
--- a/src/celerytrack/restored_registrations.py
+++ b/src/celerytrack/restored_registrations.py
@@ -3,7 +3,7 @@
 from collections.abc import Set
 
 from celerytrack.endpoint import Registration
-from celerytrack.eras import REWRITTEN_S
+from celerytrack.eras import REWRITE_GRACE_S
 from celerytrack.ids import EndpointId
 
 
@@ -48,7 +48,7 @@
     def take_gone(self, now_s: float) -> list[EndpointId]:
         """The missing endpoints that were not written again in time; each once."""
         since_s = self._missing_since_s
-        gone = [i for i, at_s in since_s.items() if now_s - at_s >= REWRITTEN_S]
+        gone = [i for i, at_s in since_s.items() if now_s - at_s >= REWRITE_GRACE_S]
         for endpoint_id in gone:
             del since_s[endpoint_id]
         return gone
--- a/src/celerytrack/row_age.py
+++ b/src/celerytrack/row_age.py
@@ -7,7 +7,7 @@
 import statistics
 
 from celerytrack.members import FEWEST_WITNESSES, Member
-from celerytrack.row_rate import BEAT_S
+from celerytrack.row_rate import MIN_HEARTBEAT_INTERVAL_S
 
 CLOCK_SLACK_S = 0.2
 """Largest difference of two readings of the clock offset on one instance."""
@@ -28,14 +28,14 @@
     return age_s if same_boot and age_s >= 0 else None
 
 
-AGREE_S = 1.0
+CLOCK_AGREEMENT_S = 1.0
 """A clock that agrees with most others within this was not set: a clock that is set
 jumps by seconds, and a row is read within some tenths of a second."""
 CLOCK_ERROR_S = 0.05
 """Largest error of two readings, some seconds apart, of a clock that was not set."""
 
 
-def age_at_power_s(
+def age_after_power_loss_s(
     previous: Member, current: Member, others: list[Member]
 ) -> float | None:
     """The age of this entry's last row at its restart, if it and most others lost power
@@ -51,13 +51,13 @@
     :param others: the rows of the other entries.
     """
     lead_s = previous.clock_lead_s
-    if lead_s is None or abs(lead_s) >= AGREE_S:
+    if lead_s is None or abs(lead_s) >= CLOCK_AGREEMENT_S:
         return None
     witnesses = [
         row
         for row in others
         if row.left_at_s is not None
-        and abs(row.started_at_s - current.started_at_s) < AGREE_S
+        and abs(row.started_at_s - current.started_at_s) < CLOCK_AGREEMENT_S
     ]
     if len(witnesses) < max(FEWEST_WITNESSES, len(others) // 2):
         return None
@@ -65,12 +65,12 @@
     return _age_s(previous, current, lead_s, started_at_s - current.started_at_s)
 
 
-BEHIND_MOST_S = 0.2
+MAX_CLOCK_LAG_S = 0.2
 """Clocks that were not set differ by less than this. Reading a row late makes the
 reader's clock appear ahead, never behind."""
 
 
-def age_beside_others_s(
+def age_by_peer_clocks_s(
     previous: Member, current: Member, lead_s: float | None
 ) -> float | None:
     """The age of this entry's last row at its restart, if its wall clock was not set
@@ -89,9 +89,9 @@
         return None
     # Setting a clock moves it by more than a second, so one that agrees before and
     # after was either never set or was set back to its former time.
-    if not (-BEHIND_MOST_S <= before_s < AGREE_S):
+    if not (-MAX_CLOCK_LAG_S <= before_s < CLOCK_AGREEMENT_S):
         return None
-    if not (-BEHIND_MOST_S <= lead_s < AGREE_S):
+    if not (-MAX_CLOCK_LAG_S <= lead_s < CLOCK_AGREEMENT_S):
         return None
     return _age_s(previous, current, before_s, -lead_s)
 
@@ -111,5 +111,5 @@
     passed_s = current.started_at_s - previous.made_at_s
     if passed_s < 0:
         return None
-    ahead_s = max(0.0, lead_s - BEAT_S)
+    ahead_s = max(0.0, lead_s - MIN_HEARTBEAT_INTERVAL_S)
     return passed_s + ahead_s + max(0.0, behind_s) + CLOCK_ERROR_S
--- a/src/celerytrack/row_rate.py
+++ b/src/celerytrack/row_rate.py
@@ -1,33 +1,33 @@
 """How often entries write their rows, without I/O."""
 
-BEAT_S = 0.3
+MIN_HEARTBEAT_INTERVAL_S = 0.3
 """Longest time between two rows of an entry in a small fleet. A power loss loses the
 record of what was spent since the last row."""
-BEATS_PER_S = 60.0
+MAX_FLEET_HEARTBEATS_PER_S = 60.0
 """Most rows per second of all entries together: a tenth of the 600 writes per second
 that the smallest store takes."""
-URGENT_GAP_S = 0.01
+MIN_ROW_INTERVAL_S = 0.01
 """Shortest time between two rows of an entry, so that concurrent requests that lack
 tokens share one row. With a longer interval, long prompts would have to ask other
 entries for tokens."""
-URGENT_ROWS_PER_S = 400.0
+MAX_FLEET_ROWS_PER_S = 400.0
 """Most rows per second of all entries together when all have waiting requests: two
 thirds of what the smallest store takes, and no more than a narrow link carries."""
-URGENT_BURST = 4
+ROW_BURST = 4
 """Rows that an entry may write in a burst. With a pause after each row, requests that
 lack tokens would often wait for its end."""
 
 
-def beat_interval_s(entries: int) -> float:
+def heartbeat_interval_s(entries: int) -> float:
     """Longest time between two rows of an entry in a fleet of ``entries``."""
-    return max(BEAT_S, entries / BEATS_PER_S)
+    return max(MIN_HEARTBEAT_INTERVAL_S, entries / MAX_FLEET_HEARTBEATS_PER_S)
 
 
 class RowRateLimiter:
     """Limits the rate of an entry's rows.
 
-    On average all entries together write at most :data:`URGENT_ROWS_PER_S`. An entry
-    that has recently written less may write a burst of :data:`URGENT_BURST` rows.
+    On average all entries together write at most :data:`MAX_FLEET_ROWS_PER_S`. An entry
+    that has recently written less may write a burst of :data:`ROW_BURST` rows.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
 
     def pause_s(self, entries: int, now_s: float) -> float:
         """The delay before the next row after one written at ``now_s``."""
-        each_s = entries / URGENT_ROWS_PER_S
-        self._paid_until_s = max(self._paid_until_s, now_s - URGENT_BURST * each_s)
+        each_s = entries / MAX_FLEET_ROWS_PER_S
+        self._paid_until_s = max(self._paid_until_s, now_s - ROW_BURST * each_s)
         self._paid_until_s += each_s
-        return max(URGENT_GAP_S, self._paid_until_s - now_s)
+        return max(MIN_ROW_INTERVAL_S, self._paid_until_s - now_s)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -138,7 +138,7 @@
         async with Fleet(gateways=1) as fleet, CrashRun(fleet, 8, seed=8) as run:
             await _convict(fleet, run)
             book = fleet.gateways[0].keeper.book
-            left = book.left_tokens(AccountId("t"), time.monotonic())
+            left = book.available_tokens(AccountId("t"), time.monotonic())
             began_s = time.monotonic()
             status, headers, body = await fleet.ask(
                 "/plain/x", "last", body=MARKER, X_Token_Count="10,10"
@@ -147,7 +147,7 @@
             self.assertEqual(status, 429)
             self.assertGreater(float(headers["Retry-After"]), 0.9 * QUARANTINES_S[0])
             self.assertIn(b"did_not_run", body)
-            after = book.left_tokens(AccountId("t"), time.monotonic())
+            after = book.available_tokens(AccountId("t"), time.monotonic())
             self.assertEqual(after, left)
 
     async def test_it_is_tried_again_once_all_endpoints_are_of_another_build(
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -7,13 +7,13 @@
 
 from celerytrack.endpoint import Registration
 from celerytrack.endpoints import GONE_GRACE_S, EndpointBook, Registered
-from celerytrack.eras import REWRITTEN_S, Era, EraStatus, EraTracker
+from celerytrack.eras import REWRITE_GRACE_S, Era, EraStatus, EraTracker
 from celerytrack.ids import AccountId, EndpointId, EntryId, ServiceName, Zone
 from celerytrack.members import Member, MemberState, MemberView
 from celerytrack.platform.log_format import decode_era
 from celerytrack.platform.rows import decode_member, encode_member
 from celerytrack.prepaid import AccountClaim, PrepaidBudgets
-from celerytrack.prepaid.restore_hold import HOLD_S
+from celerytrack.prepaid.restore_hold import MAX_HOLD_S
 from celerytrack.strict import UnreadableError
 
 SAME, CHANGED, LATE = EraStatus.SAME, EraStatus.CHANGED, EraStatus.LATE
@@ -57,8 +57,8 @@
         (change,) = changes
         self.assertEqual((change.old, change.new, change.seen_at_s), (old, new, 2.0))
         self.assertIs(change.expected, expected)
-        self.assertFalse(watch.rewritten(2.0 + REWRITTEN_S / 2))
-        self.assertTrue(watch.rewritten(2.0 + REWRITTEN_S))
+        self.assertFalse(watch.rewritten(2.0 + REWRITE_GRACE_S / 2))
+        self.assertTrue(watch.rewritten(2.0 + REWRITE_GRACE_S))
 
     @params("", "x", "-1", "1.5", " 2", "+2", "0x1", "²", "9" * 40)
     def test_an_era_that_is_no_number_is_rejected(self, value):
@@ -82,9 +82,9 @@
 def _write(book, era, now_s):
     """Write a row of this entry, made in ``era``."""
     book.plan(2, now_s)
-    row = book.next_row(now_s)
+    row = book.make_row(now_s)
     book.fold(ME, row, era)
-    book.row_folded()
+    book.confirm_row()
     return row
 
 
@@ -100,14 +100,14 @@
     def test_only_its_owner_lowers_a_claim(self, row, era, counts):
         """Guards against spending the tokens of a claim twice that the backup lacks."""
         book = _book()
-        book.rose(NEW, {PEER}, 0.0)
+        book.on_log_restored(NEW, {PEER}, 0.0)
         book.fold(PEER, row, era)
         self.assertEqual(book.rows.claimed_tokens(A) - 10_000, counts)
 
     def test_the_claim_of_an_entry_missing_in_the_backup_still_counts(self):
         book = _book()
-        book.rose(NEW, {PEER}, 0.0)
-        book.keep_only({ME})
+        book.on_log_restored(NEW, {PEER}, 0.0)
+        book.retain_entries({ME})
         self.assertEqual(book.rows.claimed_tokens(A), 40_000)
 
     @params(
@@ -115,18 +115,18 @@
         ((), 1.0, False),
         ((PEER,), 1.0, False),
         ((PEER, THIRD), 1.0, True),
-        ((PEER,), HOLD_S, True),
+        ((PEER,), MAX_HOLD_S, True),
     )
     def test_no_allowance_rises_until_all_have_written(self, writers, at_s, rises):
         """Guards against claiming tokens that seem free because a claim was lost."""
         book = _book()
         book.fold(THIRD, {A: AccountClaim(1_000, 1_000)}, OLD)
-        book.rose(NEW, {PEER, THIRD}, 0.0)
+        book.on_log_restored(NEW, {PEER, THIRD}, 0.0)
         _write(book, NEW, 0.1)
         before = book._share(A).accepted_tokens
         for writer in writers:
             book.fold(writer, {A: AccountClaim(1_000, 1_000)}, NEW)
-        book.want(A, 20_000)
+        book.request_claim(A, 20_000)
         _write(book, NEW, at_s)
         self.assertEqual(book._share(A).accepted_tokens > before, rises)
 
@@ -134,29 +134,29 @@
         """An append of the old era that lands late, in the new one, has an older claim
         than its owner."""
         book = _book()
-        book.rose(NEW, {PEER}, 0.0)
+        book.on_log_restored(NEW, {PEER}, 0.0)
         book.fold(PEER, {A: AccountClaim(1_000, 1_000)}, OLD)
         _write(book, NEW, 1.0)
-        self.assertTrue(book.guard.holding)
+        self.assertTrue(book.restore_hold.active)
         self.assertEqual(book.rows.claimed_tokens(A), 30_000)
 
     def test_allowances_survive_a_restore(self):
         """Guards against a restore that takes tokens that an outage would leave."""
         book = _book()
         _write(book, OLD, 0.0)
-        left = book.left_tokens(A, 0.5)
+        left = book.available_tokens(A, 0.5)
         self.assertGreater(left, 0)
-        book.rose(NEW, {PEER}, 0.5)
+        book.on_log_restored(NEW, {PEER}, 0.5)
         book.fold(ME, {}, None)
-        self.assertEqual(book.left_tokens(A, 0.5), left)
+        self.assertEqual(book.available_tokens(A, 0.5), left)
 
     def test_transfers_stay_accounted(self):
         book = _book()
         _write(book, OLD, 0.0)
-        moved = book.give(A, 100, 0.5)
-        book.receive(A, 40)
+        moved = book.transfer_out(A, 100, 0.5)
+        book.transfer_in(A, 40)
         floor = book._share(A).floor_tokens
-        book.rose(NEW, {PEER}, 0.5)
+        book.on_log_restored(NEW, {PEER}, 0.5)
         row = _write(book, NEW, 1.0)
         self.assertEqual((moved, book._share(A).floor_tokens), (100, floor))
         self.assertGreaterEqual(row[A].claimed_tokens, floor)
@@ -164,24 +164,24 @@
     def test_the_hold_lasts_until_the_own_row_is_on_the_log(self):
         """The time limit passes while this entry's own row is not on the log."""
         book = _book()
-        book.rose(NEW, {PEER}, 0.0)
-        book.plan(2, 2 * HOLD_S)
-        self.assertTrue(book.guard.holding)
+        book.on_log_restored(NEW, {PEER}, 0.0)
+        book.plan(2, 2 * MAX_HOLD_S)
+        self.assertTrue(book.restore_hold.active)
 
     def test_another_restore_begins_a_new_hold(self):
         book = _book()
-        book.rose(NEW, {PEER}, 0.0)
+        book.on_log_restored(NEW, {PEER}, 0.0)
         book.fold(PEER, {A: AccountClaim(40_000, 1_000)}, NEW)
-        book.rose(NEWER, {PEER}, 0.5)
+        book.on_log_restored(NEWER, {PEER}, 0.5)
         book.fold(PEER, {A: AccountClaim(8_000, 1_000)}, NEW)
         self.assertEqual(book.rows.claimed_tokens(A) - 10_000, 40_000)
         _write(book, NEWER, 1.0)
-        self.assertTrue(book.guard.holding)
+        self.assertTrue(book.restore_hold.active)
 
     def test_a_leaving_entry_returns_unspent_tokens_during_a_hold(self):
         book = _book()
         _write(book, OLD, 0.0)
-        book.rose(NEW, {PEER}, 0.5)
+        book.on_log_restored(NEW, {PEER}, 0.5)
         book.return_unspent()
         row = _write(book, NEW, 1.0)
         self.assertEqual(row[A].claimed_tokens, 0)
@@ -261,6 +261,6 @@
         book.restores.missing(EndpointId("e"), 1.0)
         book.restores.missing(EndpointId("f"), 1.0)
         book.restores.written(EndpointId("f"))
-        self.assertEqual(book.restores.take_gone(0.9 + REWRITTEN_S), [])
-        self.assertEqual(book.restores.take_gone(1.0 + REWRITTEN_S), ["e"])
+        self.assertEqual(book.restores.take_gone(0.9 + REWRITE_GRACE_S), [])
+        self.assertEqual(book.restores.take_gone(1.0 + REWRITE_GRACE_S), ["e"])
         self.assertEqual(book.restores.take_gone(9.0), [])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -359,7 +359,7 @@
             await self._settled(fleet)
             fleet.log.down = True
             here, there = (g.keeper.book for g in fleet.gateways)
-            cost = here.left_tokens(T, 0.0) + there.left_tokens(T, 0.0) // 3
+            cost = here.available_tokens(T, 0.0) + there.available_tokens(T, 0.0) // 3
             one = {"X_Token_Count": f"{cost},5", "X_Prompt_Prefix": "aa:6"}
             status, _, _ = await fleet.ask("/stream/x", **one)
             return status
@@ -374,7 +374,7 @@
         await fleet.until(
             lambda: (
                 len(fleet.log.topics["keyed.celerytrack-entries"].records) >= wrote + 6
-                and not any(g.keeper.book.row_on_its_way for g in fleet.gateways)
+                and not any(g.keeper.book.has_row_in_flight for g in fleet.gateways)
             )
         )
 
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -20,15 +20,15 @@
 from celerytrack.prepaid.rows import FoldedRows, RowSums
 from celerytrack.prepaid.shares import OUTAGE_AGE_S, UNLOCK_DELAY_S, Share
 from celerytrack.row_age import (
-    age_at_power_s,
+    age_after_power_loss_s,
     age_at_start_s,
-    age_beside_others_s,
+    age_by_peer_clocks_s,
 )
 from celerytrack.row_rate import (
-    URGENT_BURST,
-    URGENT_ROWS_PER_S,
+    MAX_FLEET_ROWS_PER_S,
+    ROW_BURST,
     RowRateLimiter,
-    beat_interval_s,
+    heartbeat_interval_s,
 )
 
 A = AccountId("a")
@@ -47,9 +47,9 @@
 
 def _write(book: PrepaidBudgets, entries: int, now_s: float) -> AccountClaim:
     book.plan(entries, now_s)
-    row = book.next_row(now_s)
+    row = book.make_row(now_s)
     book.fold(ME, row)
-    book.row_folded()
+    book.confirm_row()
     return row[A]
 
 
@@ -82,7 +82,7 @@
         book = _book()
         row = _write(book, 2, 0.0)
         ages_s = (UNLOCK_DELAY_S, UNLOCK_DELAY_S + 0.2, 2.0, 4.0, OLD_S)
-        left = [book.left_tokens(A, age_s) for age_s in ages_s]
+        left = [book.available_tokens(A, age_s) for age_s in ages_s]
         self.assertEqual(left[0], row.immediate_tokens)
         self.assertEqual(left, sorted(set(left)))
         self.assertEqual(left[-1], row.claimed_tokens)
@@ -91,13 +91,13 @@
     def test_the_next_run_counts_what_may_have_been_spent_by_then(self, age_s):
         book = _book()
         row = _write(book, 2, 0.0)
-        spendable = book.left_tokens(A, age_s)
+        spendable = book.available_tokens(A, age_s)
         after = PrepaidBudgets(ME)
         after.set_totals({A: TOTAL})
         after.fold(ME, {A: row})
         after.adopt(age_s)
         after.return_unspent()
-        self.assertEqual(after.next_row(age_s)[A].claimed_tokens, spendable)
+        self.assertEqual(after.make_row(age_s)[A].claimed_tokens, spendable)
 
     @params(0, 100, 1_000, 2_000, 3_000)
     def test_free_in_s_is_when_the_tokens_unlock(self, more):
@@ -105,8 +105,10 @@
         row = _write(book, 2, 0.0)
         tokens = row.immediate_tokens + more
         after_s = book.free_in_s(A, tokens, 0.5)
-        self.assertLess(book.left_tokens(A, 0.5 + after_s - 0.01), tokens + (more == 0))
-        self.assertGreaterEqual(book.left_tokens(A, 0.5 + after_s + 0.01), tokens)
+        self.assertLess(
+            book.available_tokens(A, 0.5 + after_s - 0.01), tokens + (more == 0)
+        )
+        self.assertGreaterEqual(book.available_tokens(A, 0.5 + after_s + 0.01), tokens)
         self.assertIsNone(book.free_in_s(A, row.claimed_tokens + 1, 0.5))
 
     def test_the_next_row_covers_a_waiting_request_in_full(self):
@@ -116,7 +118,7 @@
         second old, and the request still lacked what that second had unlocked."""
         book = _book()
         row = _write(book, 2, 0.0)
-        free = book.left_tokens(A, OUTAGE_AGE_S)
+        free = book.available_tokens(A, OUTAGE_AGE_S)
         self.assertGreater(free, row.immediate_tokens)
         self.assertIsNone(book.reserve(A, free + 10, OUTAGE_AGE_S))
         _write(book, 2, OUTAGE_AGE_S)
@@ -134,35 +136,35 @@
         self.assertIsNone(book.reserve(A, 3_000, 0.1))
         book.plan(2, 0.1)
         self.assertGreater(
-            book.next_row(0.1)[A].immediate_tokens, before.limit_tokens(0.1)
+            book.make_row(0.1)[A].immediate_tokens, before.limit_tokens(0.1)
         )
         spendable = before.limit_tokens(0.1) - before.immediate_tokens
-        self.assertEqual(book.left_tokens(A, 0.1), spendable)
+        self.assertEqual(book.available_tokens(A, 0.1), spendable)
 
     def test_a_row_in_flight_lowers_the_limit_and_never_raises_it(self):
         """Guards against a limit taken from the folded row alone. A lower row is in
         flight, the entry spends up to the higher folded one, the append lands late,
         and others claim the freed tokens, so the total is overspent."""
         book = _book()
-        high = book.left_tokens(A, 0.1)
+        high = book.available_tokens(A, 0.1)
         book.return_unspent()
-        book.next_row(1.0)
+        book.make_row(1.0)
         book.set_totals({A: TOTAL + 1})
         self.assertGreater(high, 0)
-        self.assertEqual(book.left_tokens(A, 1.1), 0)
+        self.assertEqual(book.available_tokens(A, 1.1), 0)
 
     def test_a_claim_that_does_not_fit_is_not_spent_and_is_withdrawn(self):
         book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.adopt(None)
         book.plan(2, 0.0)
-        row = book.next_row(0.0)
+        row = book.make_row(0.0)
         book.fold(PEER, {A: AccountClaim(TOTAL, TOTAL)})
         book.fold(ME, row)
-        book.row_folded()
-        self.assertEqual(book.left_tokens(A, OLD_S), 0)
+        book.confirm_row()
+        self.assertEqual(book.available_tokens(A, OLD_S), 0)
         book.plan(2, 0.1)
-        self.assertEqual(book.next_row(0.1)[A].claimed_tokens, 0)
+        self.assertEqual(book.make_row(0.1)[A].claimed_tokens, 0)
 
     def test_no_allowance_rises_while_a_row_cannot_be_decoded(self):
         """Guards against treating an undecodable row as absent. Entries of two
@@ -170,13 +172,13 @@
         rows. Each sees the whole total free and claims it: every account overspent."""
         book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
-        book.unreadable(PEER)
+        book.mark_unreadable(PEER)
         book.adopt(None)
         _write(book, 2, 0.0)
-        self.assertEqual(book.left_tokens(A, OLD_S), 0)
+        self.assertEqual(book.available_tokens(A, OLD_S), 0)
         book.fold(PEER, {A: AccountClaim()})
-        book.row_folded()
-        self.assertGreater(book.left_tokens(A, OLD_S), 0)
+        book.confirm_row()
+        self.assertGreater(book.available_tokens(A, OLD_S), 0)
 
 
 class ConcentratedSpendTest(unittest.TestCase):
@@ -200,15 +202,15 @@
                 reservation = busy.reserve(A, 2_000, second + 0.52)
             self.assertIsNotNone(reservation)
             busy.commit(reservation, 2_000, second + 0.52)
-        left = busy.left_tokens(A, 10.0 + OLD_S)
+        left = busy.available_tokens(A, 10.0 + OLD_S)
         self.assertGreater(left, 9 * 2_000)
 
 
 def _write_as(book: PrepaidBudgets, entry: EntryId, entries: int, now_s: float) -> None:
     book.plan(entries, now_s)
-    row = book.next_row(now_s)
+    row = book.make_row(now_s)
     book.fold(entry, row)
-    book.row_folded()
+    book.confirm_row()
 
 
 class UrgentTest(unittest.TestCase):
@@ -223,7 +225,7 @@
         book.adopt(None)
         book.reserve(A, 1_500, 0.0, urgent)
         _write(book, 2, 0.0)
-        self.assertEqual(book.left_tokens(A, 0.1), left)
+        self.assertEqual(book.available_tokens(A, 0.1), left)
 
 
 class MayClaimTest(unittest.TestCase):
@@ -238,30 +240,30 @@
         book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.fold(PEER, {A: AccountClaim(claimed, claimed, claimed)})
-        self.assertIs(book.may_claim(A, tokens, urgent), expected)
+        self.assertIs(book.can_claim(A, tokens, urgent), expected)
 
     @params((0.0, True), (OLD_S, False))
     def test_has_locked_tokens(self, age_s, expected):
-        self.assertIs(_book().may_free(A, age_s), expected)
+        self.assertIs(_book().has_locked_tokens(A, age_s), expected)
 
 
 class TransferTest(unittest.TestCase):
     def test_a_transfer_moves_tokens_and_never_creates_any(self):
         sender, recipient = _book(), PrepaidBudgets(PEER)
         recipient.set_totals({A: TOTAL})
-        before = sender.left_tokens(A, 0.1)
-        moved = sender.give(A, 500, 0.1)
-        recipient.receive(A, moved)
+        before = sender.available_tokens(A, 0.1)
+        moved = sender.transfer_out(A, 500, 0.1)
+        recipient.transfer_in(A, moved)
         self.assertEqual(moved, 500)
-        self.assertEqual(sender.left_tokens(A, 0.1), before - 500)
-        self.assertEqual(recipient.left_tokens(A, 0.1), 500)
+        self.assertEqual(sender.available_tokens(A, 0.1), before - 500)
+        self.assertEqual(recipient.available_tokens(A, 0.1), 500)
         self.assertIsNone(recipient.reserve(A, 501, 0.1))
         self.assertIsNotNone(recipient.reserve(A, 500, 0.1))
 
     def test_no_more_is_transferred_than_is_available(self):
         sender = _book()
-        self.assertLess(sender.give(A, TOTAL, 0.1), TOTAL)
-        self.assertGreaterEqual(sender.left_tokens(A, 0.1), 0)
+        self.assertLess(sender.transfer_out(A, TOTAL, 0.1), TOTAL)
+        self.assertGreaterEqual(sender.available_tokens(A, 0.1), 0)
 
 
 class ExhaustedTest(unittest.TestCase):
@@ -275,7 +277,7 @@
         book = PrepaidBudgets(ME)
         book.set_totals({A: TOTAL})
         book.fold(PEER, {A: AccountClaim(claimed, claimed, used)})
-        self.assertIs(book.exhausted(A, cost), expected)
+        self.assertIs(book.is_exhausted(A, cost), expected)
 
 
 class AdoptTest(unittest.TestCase):
@@ -290,9 +292,9 @@
         book.set_totals({A: 10_050})
         book.fold(ME, {A: AccountClaim(10_000, 3_000, 1_000, unlock_tokens_per_s=500)})
         book.adopt(age_s)
-        self.assertLessEqual(book.left_tokens(A, 0.1), 0)
+        self.assertLessEqual(book.available_tokens(A, 0.1), 0)
         book.return_unspent()
-        self.assertEqual(book.next_row(0.1)[A].claimed_tokens, expected)
+        self.assertEqual(book.make_row(0.1)[A].claimed_tokens, expected)
 
     def test_what_cannot_have_been_spent_is_freed(self):
         book = PrepaidBudgets(ME)
@@ -302,7 +304,7 @@
         book.adopt(None)
         book.free_adopted(left, UNLOCK_DELAY_S + 1.0)
         book.return_unspent()
-        self.assertEqual(book.next_row(0.1)[A].claimed_tokens, 3_500)
+        self.assertEqual(book.make_row(0.1)[A].claimed_tokens, 3_500)
 
 
 class AgeAtStartTest(unittest.TestCase):
@@ -328,7 +330,7 @@
         made_at_s = 100.0 - age_s + before_s
         previous = _member(ME, 1, made_at_s, clock_lead_s=lead_s)
         current = _member(ME, 2, 3.0, 100.0 + after_s, 2.0, left_at_s=made_at_s)
-        return age_at_power_s(
+        return age_after_power_loss_s(
             previous, current, self.others if others is None else others
         )
 
@@ -418,7 +420,7 @@
     def test_age_by_the_clocks_of_running_peers(self, before_s, now_s, expected):
         previous = _member(ME, 1, made_s=50.0, offset_s=50.0, clock_lead_s=before_s)
         current = _member(ME, 2, made_s=4.0, offset_s=100.0, started_s=3.0)
-        found_s = age_beside_others_s(previous, current, now_s)
+        found_s = age_by_peer_clocks_s(previous, current, now_s)
         if expected is None:
             self.assertIsNone(found_s)
         else:
@@ -499,7 +501,7 @@
 
     @params((6, 0.3), (80, 80 / 60), (300, 5.0))
     def test_the_row_rate_is_bounded_in_large_fleets(self, entries, expected_s):
-        self.assertAlmostEqual(beat_interval_s(entries), expected_s)
+        self.assertAlmostEqual(heartbeat_interval_s(entries), expected_s)
 
     @params((6,), (64,), (300,))
     def test_an_entry_may_burst_within_the_fleet_row_limit(self, entries):
@@ -510,9 +512,9 @@
             rows += 1
             delays_s.append(limiter.pause_s(entries, now_s))
             now_s += delays_s[-1]
-        self.assertLess(max(delays_s[: URGENT_BURST - 1]), 0.02)
-        at_rate = 10.0 * URGENT_ROWS_PER_S / entries
-        self.assertLessEqual(rows, URGENT_BURST + math.ceil(at_rate))
+        self.assertLess(max(delays_s[: ROW_BURST - 1]), 0.02)
+        at_rate = 10.0 * MAX_FLEET_ROWS_PER_S / entries
+        self.assertLessEqual(rows, ROW_BURST + math.ceil(at_rate))
 
 
 WIDE, NARROW = 200.0, 10.0
--- a/tests/test_prepaid_model.py
+++ b/tests/test_prepaid_model.py
@@ -120,7 +120,7 @@
             return
         now_s = m.clock_s(self.now_s)
         m.book.plan(len(ENTRIES), now_s)
-        row = m.book.next_row(now_s)
+        row = m.book.make_row(now_s)
         m.pending = Member(
             m.entry,
             1,
@@ -145,7 +145,7 @@
         m = self.machines[i]
         if m.landed_at is not None and not m.partitioned:
             self._fold(m)
-            m.book.row_folded()
+            m.book.confirm_row()
             m.pending = m.landed_at = None
 
     @rule(i=indexes)
@@ -160,7 +160,7 @@
             newest = {row.entry_id: row for row in self.log}
             for row in newest.values():
                 m.book.fold(row.entry_id, row.shares)
-            m.book.keep_only(set(newest))
+            m.book.retain_entries(set(newest))
             m.folded = len(self.log)
 
     @rule(i=indexes)
@@ -172,9 +172,9 @@
         sender, recipient = self.machines[i], self.machines[j]
         if i == j:
             return
-        moved = sender.book.give(ACCOUNT, tokens, sender.clock_s(self.now_s))
+        moved = sender.book.transfer_out(ACCOUNT, tokens, sender.clock_s(self.now_s))
         if not lost:
-            recipient.book.receive(ACCOUNT, moved)
+            recipient.book.transfer_in(ACCOUNT, moved)
 
     @rule(i=indexes, power=st.booleans(), down_s=st.sampled_from([0.5, 1.5, 6.0]))
     def kill(self, i: int, power: bool, down_s: float) -> None:
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -21,7 +21,7 @@
         """A start believed the copy, and its former claims were given out again."""
         async with Fleet(gateways=2) as fleet:
             first, second = fleet.gateways
-            known = second.keeper.book.guard.known
+            known = second.keeper.book.restore_hold.known_row
             await fleet.until(lambda: T in known(first.entry_id))
             client = GiftClient()
             self.addAsyncCleanup(client.close)
@@ -46,11 +46,11 @@
         book = PrepaidBudgets(ME)
         book.set_totals({T: 1_000})
         book.fold(ME, {T: AccountClaim(claimed_tokens=100, used_tokens=50)}, Era(1))
-        book.recall({T: AccountClaim(claimed_tokens=400, used_tokens=300)})
-        book.recall({T: AccountClaim(claimed_tokens=200, used_tokens=350)})
+        book.merge_own_row({T: AccountClaim(claimed_tokens=400, used_tokens=300)})
+        book.merge_own_row({T: AccountClaim(claimed_tokens=200, used_tokens=350)})
         book.adopt(None)
-        self.assertEqual(book.rows.mine()[T].claimed_tokens, 400)
-        self.assertLessEqual(book.left_tokens(T, 0.0), 0)
+        self.assertEqual(book.rows.own_row()[T].claimed_tokens, 400)
+        self.assertLessEqual(book.available_tokens(T, 0.0), 0)
 
     def test_shares_are_read_as_written_and_nothing_else_is(self) -> None:
         shares = {T: AccountClaim(claimed_tokens=5, used_tokens=2)}
--- a/tests/test_restore_model.py
+++ b/tests/test_restore_model.py
@@ -160,7 +160,7 @@
             restore_property(NAIVE_EXAMPLES, tells=False)()
 
     def test_the_checker_catches_entries_that_trust_the_backup(self):
-        trust = mock.patch.object(RestoreHold, "rose", lambda *_: None)
+        trust = mock.patch.object(RestoreHold, "begin", lambda *_: None)
         with trust, self.assertRaises(AssertionError):
             restore_property(NAIVE_EXAMPLES)()
 
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -154,7 +154,9 @@
             era = fleet.log.era
             await fleet.until(lambda: self._written(fleet, era), 2.0)
             # Rows of the new era have lower offsets than those read before.
-            await fleet.until(lambda: not any(b.guard.holding for b in books), BEATS_S)
+            await fleet.until(
+                lambda: not any(b.restore_hold.active for b in books), BEATS_S
+            )
             kept = [b._share(ACCOUNT).accepted_tokens for b in books]
             for before, after in zip(accepted, kept, strict=True):
                 self.assertGreaterEqual(after, before)
