--- a/bench/partition_bench.py
+++ b/bench/partition_bench.py
@@ -71,7 +71,7 @@
 
     def settle(entry: EntryId, grants: list[HeldGrant]) -> None:
         for grant in grants:
-            books[entry].forget(grant.grant_id)
+            books[entry].remove(grant.grant_id)
             log.append({"type": "settle", "grant_id": grant.grant_id})
         fold(entry)
 
@@ -109,7 +109,7 @@
             other = CUT if entry == HOME else HOME
             if not plan.others_tokens or world.cut:
                 return
-            settle(other, books[other].spare(ACCOUNT))
+            settle(other, books[other].idle_grants(ACCOUNT))
             fold(entry)
 
     def serve(entry: EntryId, cost: int, now_s: float) -> bool:
--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -100,9 +100,9 @@
         known = self._endpoints.get(registration.endpoint_id)
         last = known.registration if known else None
         last = last or self._forgotten.get(registration.endpoint_id)
-        if last is not None and self.restores.outdated(registration, last):
+        if last is not None and self.restores.is_outdated(registration, last):
             return Registered.STALE
-        self.restores.written(registration.endpoint_id)
+        self.restores.mark_written(registration.endpoint_id)
         if known is None:
             self._add(registration, now_s)
             return Registered.NEW
@@ -121,7 +121,7 @@
         """The log came back from a copy: who is gone by now comes back by a newer
         record only."""
         gone = (i for i, e in self._endpoints.items() if e.gone_at_s is not None)
-        self.restores.came_back({*gone, *self._forgotten})
+        self.restores.on_log_restored({*gone, *self._forgotten})
 
     def _add(self, registration: Registration, now_s: float) -> None:
         endpoint = Endpoint(registration)
--- a/src/celerytrack/entry/ledger_keeper.py
+++ b/src/celerytrack/entry/ledger_keeper.py
@@ -22,7 +22,7 @@
     Escrow,
     HeldGrant,
     plan_refill,
-    reclaimable,
+    reclaimable_grants,
 )
 from celerytrack.events import Event, log_event
 from celerytrack.ids import AccountId, EntryId, GrantId
@@ -151,7 +151,7 @@
     def elsewhere_tokens(self, account: AccountId) -> int:
         """Tokens that other entries' open grants of ``account`` hold."""
         ours = sum(
-            self.ledger.grants[g.grant_id].left_tokens
+            self.ledger.grants[g.grant_id].remaining_tokens
             for g in self.book.held(account)
             if g.grant_id in self.ledger.grants
         )
@@ -343,7 +343,7 @@
         # Near the end of a budget its last tokens sit idle in several
         # entries' grants, and callers would be refused a budget that is not
         # used up until those leases end.
-        for grant in self.book.spare(account):
+        for grant in self.book.idle_grants(account):
             if tokens <= 0:
                 return
             tokens -= grant.tokens - grant.spent_tokens
@@ -354,7 +354,7 @@
         if outcome is BillOutcome.VOID:
             for grant_id, _ in charges:
                 if grant_id not in self.ledger.grants:
-                    self.book.forget(grant_id)
+                    self.book.remove(grant_id)
 
     async def _settle_loop(self) -> None:
         while True:
@@ -375,7 +375,7 @@
             for e in holders
             if e != self._entry and self._is_gone(e) and self._chosen(f"reclaim-{e}")
         ]
-        for grant_id in reclaimable(
+        for grant_id in reclaimable_grants(
             self.ledger.grants,
             self._first_seen_s,
             gone,
@@ -389,7 +389,7 @@
     def _settle(self, grant_id: GrantId, event: Event) -> None:
         # Forgotten before the record is written: no request may reserve from
         # a grant whose settle is on its way.
-        self.book.forget(grant_id)
+        self.book.remove(grant_id)
         if grant_id in self._settling:
             return
         self._settling.add(grant_id)
--- a/src/celerytrack/eras.py
+++ b/src/celerytrack/eras.py
@@ -41,7 +41,7 @@
     seen_at_s: float
 
     @property
-    def expected(self) -> bool:
+    def is_expected(self) -> bool:
         """Whether the era rose by one, as it does with a restore."""
         return self.new == self.old + 1
 
@@ -64,7 +64,7 @@
         """Call ``listener`` on each change, before the reply that shows it is used."""
         self._listeners.append(listener)
 
-    def take(self, era: Era | None, changes_at_call: int, now_s: float) -> EraStatus:
+    def observe(self, era: Era | None, changes_at_call: int, now_s: float) -> EraStatus:
         """Classify a reply by its era.
 
         :param era: ``None`` if the reply has none.
@@ -86,7 +86,7 @@
         self._notify(change)
         return EraStatus.CHANGED
 
-    def learn(self, written: Era, now_s: float) -> None:
+    def observe_stored(self, written: Era, now_s: float) -> None:
         """Report a restore that may have happened just before this process started.
 
         Called when the records read at the start were written in an earlier era.
@@ -101,6 +101,6 @@
         for listener in self._listeners:
             listener(change)
 
-    def rewritten(self, at_s: float) -> bool:
+    def is_rewritten_by(self, at_s: float) -> bool:
         """Whether a read at ``at_s`` includes the lost records, rewritten by others."""
         return at_s >= self._restored_s + REWRITE_GRACE_S
--- a/src/celerytrack/escrow.py
+++ b/src/celerytrack/escrow.py
@@ -45,7 +45,7 @@
         return self.tokens - self.reserved_tokens - self.spent_tokens
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the grant has neither a reservation nor an unconfirmed bill."""
         return self.reserved_tokens == 0 and self.unconfirmed == 0
 
@@ -173,14 +173,14 @@
         return [
             g
             for g in self.grants.values()
-            if g.idle and (all_grants or now_s >= g.usable_until_s)
+            if g.is_idle and (all_grants or now_s >= g.usable_until_s)
         ]
 
-    def spare(self, account: AccountId) -> list[HeldGrant]:
+    def idle_grants(self, account: AccountId) -> list[HeldGrant]:
         """Idle grants of ``account``, to be settled when other entries want them."""
-        return [g for g in self.held(account) if g.idle]
+        return [g for g in self.held(account) if g.is_idle]
 
-    def forget(self, grant_id: GrantId) -> None:
+    def remove(self, grant_id: GrantId) -> None:
         """Remove a grant that is closed or whose settle record is being written."""
         grant = self.grants.pop(grant_id, None)
         if grant is not None:
@@ -274,7 +274,7 @@
     return Refill(size)
 
 
-def reclaimable(
+def reclaimable_grants(
     open_grants: Mapping[GrantId, OpenGrant],
     first_seen_s: Mapping[GrantId, float],
     gone: Iterable[EntryId],
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -23,7 +23,7 @@
     log_event(
         _log,
         Event.ERA_CHANGED,
-        logging.INFO if change.expected else logging.WARNING,
+        logging.INFO if change.is_expected else logging.WARNING,
         old=change.old,
         new=change.new,
         offset=offset,
--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -148,7 +148,7 @@
                 log_event(_log, Event.SHARES, shares=self.book.summary(now_s))
                 await self._write_row()
                 written_s = time.monotonic()
-                await asyncio.sleep(self._pace.pause_s(entries, written_s))
+                await asyncio.sleep(self._pace.next_delay_s(entries, written_s))
             self._wake.clear()
             left_s = written_s + interval_s - time.monotonic()
             if self._row_due or self._restored:
@@ -304,7 +304,7 @@
         """At a start, rows of an earlier era tell that the log may just be back."""
         others = self._rows_of_other_eras()
         if others:
-            self._eras.learn(max(others.values()), time.monotonic())
+            self._eras.observe_stored(max(others.values()), time.monotonic())
 
     def _rows_of_other_eras(self) -> dict[EntryId, Era]:
         return of_other_eras(self.members.members().values(), self._eras.known)
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -27,7 +27,7 @@
     def caught_up(at_s: float) -> None:
         # The copy may lack what was confirmed: until it is written again, what the
         # configuration here does not have may exist.
-        if gateway.eras.rewritten(at_s):
+        if gateway.eras.is_rewritten_by(at_s):
             gateway.config_known_at_s = at_s
 
     return KeyedTail(
@@ -115,17 +115,17 @@
     def reload(keys: set[str]) -> None:
         gateway.endpoints_known = True
         now_s = time.monotonic()
-        rewritten = gateway.eras.rewritten(now_s)
+        rewritten = gateway.eras.is_rewritten_by(now_s)
         for endpoint_id in gateway.endpoints.ids():
             if endpoint_id in keys:
                 continue
             if rewritten:
                 drop(endpoint_id)
             else:
-                gateway.endpoints.restores.missing(endpoint_id, now_s)
+                gateway.endpoints.restores.mark_missing(endpoint_id, now_s)
 
     def caught_up(at_s: float) -> None:
-        for endpoint_id in gateway.endpoints.restores.take_gone(time.monotonic()):
+        for endpoint_id in gateway.endpoints.restores.pop_expired(time.monotonic()):
             drop(endpoint_id)
         gateway.endpoints_known_at_s = at_s
         gateway.endpoints_took_s = time.monotonic() - at_s
--- a/src/celerytrack/lab/model_log.py
+++ b/src/celerytrack/lab/model_log.py
@@ -191,7 +191,7 @@
             # Found out by the time limit.
             await asyncio.sleep(CALL_TIMEOUT_S)
             return _SILENCE
-        if self.eras.take(era, asked_at, time.monotonic()) is EraStatus.LATE:
+        if self.eras.observe(era, asked_at, time.monotonic()) is EraStatus.LATE:
             return Failure(StoreError(StoreErrorKind.OLDER_ERA, f"era {era}"))
         return result
 
--- a/src/celerytrack/ledger.py
+++ b/src/celerytrack/ledger.py
@@ -127,7 +127,7 @@
     spent_tokens: int = 0
 
     @property
-    def left_tokens(self) -> int:
+    def remaining_tokens(self) -> int:
         """Tokens that no bill has charged yet."""
         return self.tokens - self.spent_tokens
 
@@ -204,7 +204,7 @@
         for offset, record in records:
             self.apply(offset, record)
 
-    def fits(self, account: AccountId, tokens: int) -> bool:
+    def can_grant(self, account: AccountId, tokens: int) -> bool:
         """Whether a grant of ``tokens`` would be valid now."""
         return 0 < tokens <= self.account(account).free_tokens
 
@@ -256,7 +256,7 @@
         # Two entries that saw the same free tokens may both request them. The
         # second grant in the stream does not fit and is void in every reader's
         # fold, so tokens are never granted twice.
-        if grant_id in self.grants or not self.fits(account, tokens):
+        if grant_id in self.grants or not self.can_grant(account, tokens):
             return
         self.grants[grant_id] = OpenGrant(
             grant_id, account, EntryId(record["entry"]), str(record["boot_id"]), tokens
@@ -277,7 +277,7 @@
             if (
                 grant is None
                 or grant.account != bill.account
-                or tokens > grant.left_tokens
+                or tokens > grant.remaining_tokens
             ):
                 return BillOutcome.VOID
         self.billed.add(bill.request_id)
@@ -292,7 +292,7 @@
         grant = self.grants.pop(grant_id, None)
         if grant is None:
             return
-        self.account(grant.account).open_tokens -= grant.left_tokens
+        self.account(grant.account).open_tokens -= grant.remaining_tokens
 
     def _intent(self, record: Mapping[str, Any]) -> None:
         key, claim_id = str(record["key"]), str(record["claim_id"])
--- a/src/celerytrack/platform/store.py
+++ b/src/celerytrack/platform/store.py
@@ -234,7 +234,10 @@
                     arriving.set()
                 data = await response.read()
                 era = self._era_of(response)
-                if self._eras.take(era, asked_at, time.monotonic()) is EraStatus.LATE:
+                if (
+                    self._eras.observe(era, asked_at, time.monotonic())
+                    is EraStatus.LATE
+                ):
                     return Failure(_older_era(era))
                 if response.status == 200:
                     return Success(data)
--- a/src/celerytrack/restored_registrations.py
+++ b/src/celerytrack/restored_registrations.py
@@ -18,14 +18,14 @@
         self._left: set[EndpointId] = set()
         self._missing_since_s: dict[EndpointId, float] = {}
 
-    def came_back(self, gone: Set[EndpointId]) -> None:
+    def on_log_restored(self, gone: Set[EndpointId]) -> None:
         """Begin anew: the log was restored from an older backup.
 
         :param gone: the endpoints known to have left.
         """
         self._left = set(gone)
 
-    def outdated(self, registration: Registration, last: Registration) -> bool:
+    def is_outdated(self, registration: Registration, last: Registration) -> bool:
         """Whether ``registration`` was already superseded before the restore.
 
         :param last: the last record read of the same endpoint.
@@ -36,16 +36,16 @@
             return False
         return not last.older_than(registration)
 
-    def written(self, endpoint_id: EndpointId) -> None:
+    def mark_written(self, endpoint_id: EndpointId) -> None:
         """Record that the endpoint has written its registration again."""
         self._left.discard(endpoint_id)
         self._missing_since_s.pop(endpoint_id, None)
 
-    def missing(self, endpoint_id: EndpointId, now_s: float) -> None:
+    def mark_missing(self, endpoint_id: EndpointId, now_s: float) -> None:
         """Record that the log lacks the registration; it is retained for now."""
         self._missing_since_s.setdefault(endpoint_id, now_s)
 
-    def take_gone(self, now_s: float) -> list[EndpointId]:
+    def pop_expired(self, now_s: float) -> list[EndpointId]:
         """The missing endpoints that were not written again in time; each once."""
         since_s = self._missing_since_s
         gone = [i for i, at_s in since_s.items() if now_s - at_s >= REWRITE_GRACE_S]
--- a/src/celerytrack/row_rate.py
+++ b/src/celerytrack/row_rate.py
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self._paid_until_s = float("-inf")
 
-    def pause_s(self, entries: int, now_s: float) -> float:
+    def next_delay_s(self, entries: int, now_s: float) -> float:
         """The delay before the next row after one written at ``now_s``."""
         each_s = entries / MAX_FLEET_ROWS_PER_S
         self._paid_until_s = max(self._paid_until_s, now_s - ROW_BURST * each_s)
--- a/tests/restored_log.py
+++ b/tests/restored_log.py
@@ -211,7 +211,7 @@
                 result, era = await answered
         except TimeoutError:
             return Failure(StoreError(StoreErrorKind.UNREACHABLE, "no answer"))
-        if self._eras.take(era, asked_at, time.monotonic()) is EraStatus.LATE:
+        if self._eras.observe(era, asked_at, time.monotonic()) is EraStatus.LATE:
             return Failure(StoreError(StoreErrorKind.OLDER_ERA, f"era {era}"))
         return result
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -23,7 +23,7 @@
 OLD, NEW, NEWER = Era(1), Era(2), Era(3)
 
 
-class EraWatchTest(unittest.TestCase):
+class EraTrackerTest(unittest.TestCase):
     @params(
         # Each reply in turn: its era, the changes known when the call was made, and
         # the expected status.
@@ -43,22 +43,22 @@
     )
     def test_status_of_replies(self, replies):
         """Guards against a reply of an earlier era applied after one of the new era."""
-        watch = EraTracker()
+        tracker = EraTracker()
         for era, changes, status in replies:
-            self.assertIs(watch.take(era, changes, 0.0), status, (era, changes))
+            self.assertIs(tracker.observe(era, changes, 0.0), status, (era, changes))
 
     @params((1, 2, True), (1, 3, False), (2, 1, False))
     def test_listeners_are_notified_first(self, old, new, expected):
-        watch = EraTracker()
+        tracker = EraTracker()
         changes = []
-        watch.on_change(changes.append)
-        watch.take(Era(old), 0, 1.0)
-        watch.take(Era(new), 0, 2.0)
+        tracker.on_change(changes.append)
+        tracker.observe(Era(old), 0, 1.0)
+        tracker.observe(Era(new), 0, 2.0)
         (change,) = changes
         self.assertEqual((change.old, change.new, change.seen_at_s), (old, new, 2.0))
-        self.assertIs(change.expected, expected)
-        self.assertFalse(watch.rewritten(2.0 + REWRITE_GRACE_S / 2))
-        self.assertTrue(watch.rewritten(2.0 + REWRITE_GRACE_S))
+        self.assertIs(change.is_expected, expected)
+        self.assertFalse(tracker.is_rewritten_by(2.0 + REWRITE_GRACE_S / 2))
+        self.assertTrue(tracker.is_rewritten_by(2.0 + REWRITE_GRACE_S))
 
     @params("", "x", "-1", "1.5", " 2", "+2", "0x1", "²", "9" * 40)
     def test_an_era_that_is_no_number_is_rejected(self, value):
@@ -88,7 +88,7 @@
     return row
 
 
-class RestoreGuardTest(unittest.TestCase):
+class RestoreHoldTest(unittest.TestCase):
     @params(
         # The row in the backup, its era, and the claim that counts.
         ({A: AccountClaim(8_000, 8_000, 1_000)}, OLD, 30_000),
@@ -258,9 +258,9 @@
 
     def test_missing_registrations_expire(self):
         book = EndpointBook(Zone("z"), random.Random(1))
-        book.restores.missing(EndpointId("e"), 1.0)
-        book.restores.missing(EndpointId("f"), 1.0)
-        book.restores.written(EndpointId("f"))
-        self.assertEqual(book.restores.take_gone(0.9 + REWRITE_GRACE_S), [])
-        self.assertEqual(book.restores.take_gone(1.0 + REWRITE_GRACE_S), ["e"])
-        self.assertEqual(book.restores.take_gone(9.0), [])
+        book.restores.mark_missing(EndpointId("e"), 1.0)
+        book.restores.mark_missing(EndpointId("f"), 1.0)
+        book.restores.mark_written(EndpointId("f"))
+        self.assertEqual(book.restores.pop_expired(0.9 + REWRITE_GRACE_S), [])
+        self.assertEqual(book.restores.pop_expired(1.0 + REWRITE_GRACE_S), ["e"])
+        self.assertEqual(book.restores.pop_expired(9.0), [])
--- a/tests/test_escrow_model.py
+++ b/tests/test_escrow_model.py
@@ -100,7 +100,7 @@
                 if outcomes[0] is BillOutcome.VOID:
                     for grant_id, _ in bill.charges:
                         if grant_id not in process.fold.grants:
-                            process.book.forget(grant_id)
+                            process.book.remove(grant_id)
 
     @initialize()
     def budgets(self) -> None:
@@ -214,7 +214,7 @@
         if entry in self.partitioned:
             return
         for grant in process.book.settleable(self.now_s):
-            process.book.forget(grant.grant_id)
+            process.book.remove(grant.grant_id)
             self._append(
                 process, {"type": "settle", "grant_id": grant.grant_id}, copies
             )
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -9,7 +9,7 @@
     HeldGrant,
     grant_size,
     plan_refill,
-    reclaimable,
+    reclaimable_grants,
 )
 from celerytrack.ids import AccountId, EntryId, GrantId, RequestId
 from celerytrack.ledger import BillOutcome, Intent, IntentState, Ledger, OpenGrant
@@ -232,7 +232,7 @@
     )
     def test_reclaimable(self, holder, boot, gone, ago_s, reclaimed):
         grant = OpenGrant(GrantId("g"), A, EntryId(holder), boot, 10)
-        got = reclaimable(
+        got = reclaimable_grants(
             {grant.grant_id: grant},
             {grant.grant_id: 1000.0 - ago_s},
             [EntryId(e) for e in gone],
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -510,7 +510,7 @@
         delays_s = []
         while now_s < 110.0:
             rows += 1
-            delays_s.append(limiter.pause_s(entries, now_s))
+            delays_s.append(limiter.next_delay_s(entries, now_s))
             now_s += delays_s[-1]
         self.assertLess(max(delays_s[: ROW_BURST - 1]), 0.02)
         at_rate = 10.0 * MAX_FLEET_ROWS_PER_S / entries
