--- a/src/celerytrack/escrow.py
+++ b/src/celerytrack/escrow.py
@@ -286,19 +286,19 @@
     """Open grants that no process can spend any more.
 
     A killed entry never settles its grants: their idle tokens would stay locked
-    for good, and clients would be refused a budget that they paid for. A grant
+    for good, and callers would be refused a budget that they paid for. A grant
     is reclaimed in either of two cases. Its holder is no longer in the platform's
     instance list and the whole lease has passed on this entry's clock since it
     folded the grant; the holder's lease began earlier, so it has ended whatever
-    the holder's clock says. Or an earlier run of this same entry took the grant.
-    If the holder uses the grant nevertheless, the ledger's fold voids its bills:
+    the holder's clock says. Or an earlier incarnation of this same entry took the
+    grant. If the holder uses it nevertheless, the ledger's fold voids its bills:
     the settled grant id is the fencing token.
 
     :param first_seen_s: when this entry folded each grant.
     :param gone: entries that the platform lists as gone.
-    :param ended_boot_ids: boot ids of earlier runs of this entry, known at its start.
-        Not all boot ids but the present one: two runs that overlap during a
-        replacement would reclaim each other's grants in turn.
+    :param ended_boot_ids: boot ids of earlier incarnations of this entry, known at
+        its start. Not all boot ids but the present one: two incarnations that overlap
+        during a replacement would reclaim each other's grants in turn.
     """
     departed = set(gone)
 
--- a/src/celerytrack/ledger.py
+++ b/src/celerytrack/ledger.py
@@ -38,7 +38,7 @@
 from celerytrack.ids import AccountId, EntryId, GrantId, RequestId
 
 MAX_REMEMBERED_IDS = 20_000
-"""Request ids and top-up ids that are kept: the window in which a client's retry at
+"""Request ids and top-up ids that are kept: the window in which a caller's retry at
 another entry is recognised (71 s at 281 requests/s, 8 min at 40/s)."""
 MAX_REMEMBERED_INTENTS = 10_000
 """Intents of non-idempotent calls that are kept, with their responses."""
@@ -115,7 +115,7 @@
 class OpenGrant:
     """A grant that is not settled yet.
 
-    :ivar boot_id: the run of the entry process that took it.
+    :ivar boot_id: the incarnation of the entry process that took it.
     :ivar spent_tokens: charged by bills so far.
     """
 
@@ -264,7 +264,7 @@
         self.account(account).open_tokens += tokens
 
     def _bill(self, bill: Bill) -> BillOutcome:
-        # A request may be billed by two entries, when its client retried at
+        # A request may be billed by two entries, when its caller retried at
         # another one after the first entry's response broke off, or appended
         # twice after a lost reply. Only the first bill in the stream charges.
         if bill.request_id in self.billed:
--- a/src/celerytrack/prepaid/__init__.py
+++ b/src/celerytrack/prepaid/__init__.py
@@ -23,12 +23,12 @@
 every token that they claim to bridge a network partition. So a row also limits
 what may be spent by when: its *immediate* tokens at once, and more with each
 second of the row's age, at the entry's own unlock rate, up to its claim. The
-next run of the entry's process knows the age of the row at its start from the
+next incarnation of the entry knows the age of the row at its start from the
 monotonic clock of the instance, and counts only what may have been spent by
 then. A partitioned entry keeps unlocking tokens without coordination.
 
 Entries that cannot reach the log but can reach each other transfer tokens: the
-sender counts them as spent under its own row, the recipient may spend them
+sender counts them as spent under its own row, the receiver may spend them
 beyond its own. The tokens of a transfer that is lost on the way are spent by no
 entry.
 
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -86,13 +86,13 @@
             self.fold(entry, {})
 
     def adopt(self, age_s: float | None) -> None:
-        """Adopt the row that an earlier run of this entry left.
+        """Adopt the row that an earlier incarnation of this entry left.
 
-        :param age_s: the row's age when that run had certainly ended; ``None`` if
-            unknown.
+        :param age_s: the row's age when that incarnation had certainly ended;
+            ``None`` if unknown.
         """
-        for account, row in self.rows.own_row().items():
-            self._shares[account] = Share.adopted(row, age_s)
+        for account, claim in self.rows.own_row().items():
+            self._shares[account] = Share.adopted(claim, age_s)
 
     def merge_own_row(self, row: Mapping[AccountId, AccountClaim]) -> None:
         """Merge this entry's row as a peer knew it before the log was restored."""
@@ -104,13 +104,13 @@
         """Free what :meth:`adopt` counted as spent but cannot have been spent.
 
         Called at most once, when the age that the row had at the certain end of the
-        earlier run becomes known.
+        earlier incarnation becomes known.
 
-        :param left: the row that the earlier run left.
+        :param left: the row that the earlier incarnation left.
         :param age_s: that age.
         """
-        for account, row in left.items():
-            self._share(account).free_adopted(row, age_s)
+        for account, claim in left.items():
+            self._share(account).free_adopted(claim, age_s)
 
     # -- requests ----------------------------------------------------------
 
@@ -158,20 +158,20 @@
         share = self._share(account)
         share.wanted_tokens = max(share.wanted_tokens, tokens)
 
-    def commit(self, held: Reservation, used_tokens: int, now_s: float) -> None:
+    def commit(self, reservation: Reservation, used_tokens: int, now_s: float) -> None:
         """Count ``used_tokens`` of a finished request as spent and free the rest.
 
         A count above the reservation is cut to it: the reservation is the request's
         largest possible cost, and no more is covered.
         """
-        share = self._share(held.account)
-        used = min(used_tokens, held.tokens)
-        share.reserved_tokens -= held.tokens
+        share = self._share(reservation.account)
+        used = min(used_tokens, reservation.tokens)
+        share.reserved_tokens -= reservation.tokens
         share.spend(used, now_s)
 
-    def release(self, held: Reservation) -> None:
+    def release(self, reservation: Reservation) -> None:
         """Free the whole reservation of a request that did not run."""
-        self._share(held.account).reserved_tokens -= held.tokens
+        self._share(reservation.account).reserved_tokens -= reservation.tokens
 
     def is_exhausted(self, account: AccountId, tokens: int) -> bool:
         """Whether ``tokens`` certainly exceed what is left of the total.
@@ -200,9 +200,9 @@
 
     def transfer_out(self, account: AccountId, tokens: int, now_s: float) -> int:
         """Transfer up to ``tokens`` to another entry; returns how many."""
-        given = min(tokens, self.transferable_tokens(account, now_s))
-        self._share(account).transferred_out_tokens += given
-        return given
+        moved = min(tokens, self.transferable_tokens(account, now_s))
+        self._share(account).transferred_out_tokens += moved
+        return moved
 
     def transferable_tokens(self, account: AccountId, now_s: float) -> int:
         """Tokens that could be transferred to another entry now."""
@@ -295,7 +295,7 @@
         }
 
     def lost_tokens(self) -> dict[AccountId, int]:
-        """Tokens per account that an earlier run claimed and may not have used."""
+        """Tokens per account that earlier incarnations claimed and perhaps not used."""
         shares = self._shares.items()
         return {a: s.lost_tokens for a, s in shares if s.lost_tokens}
 
@@ -310,8 +310,8 @@
             return True
         if self.restore_hold.active:
             # A claim that was not accepted is made again after the hold.
-            kept = 0 if self._leaving else share.accepted_tokens
-            share.claim_tokens = max(kept, floor)
+            retained = 0 if self._leaving else share.accepted_tokens
+            share.claim_tokens = max(retained, floor)
             return share.wanted_tokens > 0
         target = self._target(account, now_s)
         share.claim_tokens = next_claim(
--- a/src/celerytrack/prepaid/policy.py
+++ b/src/celerytrack/prepaid/policy.py
@@ -13,7 +13,7 @@
 it."""
 IMMEDIATE_UNSPENT_SHARE = 0.05
 """Share of the unspent tokens that all entries together have as immediate tokens at
-least, divided by their parts of the spend. It serves bursts of clients that stay with
+least, divided by their parts of the spend. It serves bursts of callers that stay with
 one entry, lost rows and the first moments of a partition. A power loss of the whole
 fleet costs this share, which shrinks as the account is used up."""
 UNLOCK_FACTOR = 1.0
@@ -38,7 +38,7 @@
 know which of them spend the account and how fast."""
 IDLE_SHARE = 0.15
 """Part of its initial share that an entry retains once others spend the account and it
-does not. Clients keep connections, so an account's traffic may come through one entry,
+does not. Callers keep connections, so an account's traffic may come through one entry,
 and idle entries would hold the rest."""
 MAX_CLAIM_SHARE = 0.75
 """Largest share of the unspent tokens that entries claim together, divided by their
@@ -77,7 +77,7 @@
 
     :ivar usable_tokens: the total less the share that is never claimed.
     :ivar used_tokens: known use by all entries.
-    :ivar lost_tokens: claimed by earlier runs of entries and perhaps not used.
+    :ivar lost_tokens: claimed by earlier incarnations of entries and perhaps not used.
     :ivar others_tokens_per_s: how fast the other entries spend the account.
     :ivar entries: how many parts like this entry's the account is divided into until
         the spend rates are known.
@@ -95,7 +95,7 @@
 def share_target(share: Share, usage: AccountUsage, now_s: float) -> ShareTarget:
     """What this entry's next row should offer of an account beyond its floor.
 
-    The share follows the entry's part of the account's spend: clients keep
+    The share follows the entry's part of the account's spend: callers keep
     connections, so an account's requests come through few entries, and tokens held by
     idle ones are of no use. Until enough is used to know the rates, shares are equal.
     """
--- a/src/celerytrack/prepaid/restore_hold.py
+++ b/src/celerytrack/prepaid/restore_hold.py
@@ -7,9 +7,9 @@
 here; allowances already accepted stay.
 
 A process that ends before it has written in the new era loses what it claimed since the
-backup, and its next run finds only the backed-up row on the log. So the next run asks
-the other entries which row of it they know. Claims that no live entry knows may be
-spent a second time; no more than these can be.
+backup, and its next incarnation finds only the backed-up row on the log. So that one
+asks the other entries which row of it they know. Claims that no live entry knows may
+be spent a second time; no more than these can be.
 """
 
 from collections.abc import Mapping, Set
@@ -109,7 +109,7 @@
 
 
 def merge_max(known: Row, read: Row) -> Row:
-    """The maximum of both rows' claims, uses and losses, per account."""
+    """The maximum of claimed, used and lost tokens of both rows, per account."""
     return {
         account: _max_claim(
             known.get(account, AccountClaim()), read.get(account, AccountClaim())
--- a/src/celerytrack/prepaid/rows.py
+++ b/src/celerytrack/prepaid/rows.py
@@ -10,7 +10,7 @@
 
 @attrs.define
 class RowSums:
-    """RowSums over the rows of several entries for one account.
+    """Sums over the claims of several entries on one account.
 
     :ivar wanting_entries: how many of the entries lack tokens.
     """
@@ -20,18 +20,18 @@
     rate_tokens_per_s: int = 0
     wanting_entries: int = 0
 
-    def add(self, row: AccountClaim, times: int) -> None:
-        """Add ``row``, or subtract it with ``times`` -1."""
-        self.used_tokens += times * row.used_tokens
-        self.lost_tokens += times * row.lost_tokens
-        self.rate_tokens_per_s += times * row.rate_tokens_per_s
-        self.wanting_entries += times * (row.wanted_tokens > 0)
+    def add(self, claim: AccountClaim, sign: int) -> None:
+        """Add ``claim``, or subtract it with a ``sign`` of -1."""
+        self.used_tokens += sign * claim.used_tokens
+        self.lost_tokens += sign * claim.lost_tokens
+        self.rate_tokens_per_s += sign * claim.rate_tokens_per_s
+        self.wanting_entries += sign * (claim.wanted_tokens > 0)
 
 
 class FoldedRows:
     """The newest row of each entry, with sums per account.
 
-    RowSums are updated as rows are folded, so that the work before each write of a row
+    Sums are updated as rows are folded, so that the work before each write of a row
     does not grow with the fleet (``bench.rows_bench``).
 
     :param me: this entry; its own row is included once it is on the log.
@@ -66,9 +66,9 @@
             self._sum(row, 1)
         return set(accounts)
 
-    def _sum(self, row: Mapping[AccountId, AccountClaim], times: int) -> None:
-        for account, published in row.items():
-            self._others.setdefault(account, RowSums()).add(published, times)
+    def _sum(self, row: Mapping[AccountId, AccountClaim], sign: int) -> None:
+        for account, claim in row.items():
+            self._others.setdefault(account, RowSums()).add(claim, sign)
 
     def mark_unreadable(self, entry: EntryId) -> None:
         """Record that the newest row of ``entry`` cannot be decoded."""
@@ -86,19 +86,19 @@
         return self._claimed.get(account, 0)
 
     def others(self, account: AccountId) -> RowSums:
-        """RowSums over the other entries' rows of ``account``."""
+        """Sums over the other entries' claims on ``account``."""
         return self._others.get(account, RowSums())
 
     def entries_by_unspent(self, account: AccountId) -> list[EntryId]:
         """The other entries that probably hold tokens of ``account``, largest first."""
-        left = {
-            entry: row.claimed_tokens - row.used_tokens
-            for entry, row in self._published(account).items()
+        unspent = {
+            entry: claim.claimed_tokens - claim.used_tokens
+            for entry, claim in self._others_claims(account).items()
         }
-        holding = (entry for entry, tokens in left.items() if tokens > 0)
-        return sorted(holding, key=lambda e: left[e], reverse=True)
+        holders = (entry for entry, tokens in unspent.items() if tokens > 0)
+        return sorted(holders, key=lambda e: unspent[e], reverse=True)
 
-    def _published(self, account: AccountId) -> dict[EntryId, AccountClaim]:
+    def _others_claims(self, account: AccountId) -> dict[EntryId, AccountClaim]:
         return {
             entry: row[account]
             for entry, row in self._rows.items()
--- a/src/celerytrack/prepaid/shares.py
+++ b/src/celerytrack/prepaid/shares.py
@@ -1,4 +1,4 @@
-"""Rows that entries publish, and an entry's own share of an account."""
+"""Claims that entries publish, and an entry's own share of an account."""
 
 import math
 
@@ -28,13 +28,13 @@
 
 @attrs.frozen
 class AccountClaim:
-    """What one entry publishes about one account; token counts are cumulative.
+    """One entry's claim on one account, a part of its row; token counts are cumulative.
 
     :ivar claimed_tokens: upper bound of the entry's spend.
     :ivar immediate_tokens: upper bound of its spend when the row was made.
     :ivar used_tokens: known spend; a lower bound for other entries.
     :ivar wanted_tokens: what its waiting requests lack.
-    :ivar lost_tokens: claimed by its earlier runs and perhaps not used.
+    :ivar lost_tokens: claimed by its earlier incarnations and perhaps not used.
     :ivar rate_tokens_per_s: how fast the entry spends the account.
     :ivar unlock_tokens_per_s: tokens that unlock per second of the row's age.
     """
@@ -48,7 +48,7 @@
     unlock_tokens_per_s: int = 0
 
     def limit_tokens(self, age_s: float) -> int:
-        """The most that may be spent under this row at the age of ``age_s``."""
+        """The most that may be spent under this claim when its row is ``age_s`` old."""
         unlocked_tokens = int(self.unlock_tokens_per_s * _unlocked_s(age_s))
         return min(self.claimed_tokens, self.immediate_tokens + unlocked_tokens)
 
@@ -100,8 +100,8 @@
     :ivar transferred_in_tokens: transferred to this entry under their rows.
     :ivar wanted_tokens: the largest request since the last row that could not be
         covered here; ``urgent_tokens`` the largest of the most urgent ones.
-    :ivar adopted_tokens: part of ``spent_tokens`` that an earlier run of this entry
-        may have spent; of these, ``adopted_used_tokens`` are known to be used.
+    :ivar adopted_tokens: part of ``spent_tokens`` that an earlier incarnation of this
+        entry may have spent; of these, ``adopted_used_tokens`` are known to be used.
     """
 
     claim_tokens: int = 0
@@ -120,28 +120,30 @@
     largest_tokens: float = 0.0
 
     @classmethod
-    def adopted(cls, row: AccountClaim, age_s: float | None) -> "Share":
-        """The share of an entry whose earlier run left ``row``.
+    def adopted(cls, claim: AccountClaim, age_s: float | None) -> "Share":
+        """The share of an entry whose earlier incarnation left ``claim``.
 
-        All that the earlier run may have spent counts as spent, because its use
+        All that the earlier incarnation may have spent counts as spent, because its use
         after its last row is not recorded anywhere.
 
-        :param age_s: the row's age when the earlier run had certainly ended;
+        :param age_s: the row's age when the earlier incarnation had certainly ended;
             ``None`` if unknown.
         """
-        lost = row.claimed_tokens if age_s is None else row.limit_tokens(age_s)
+        lost = claim.claimed_tokens if age_s is None else claim.limit_tokens(age_s)
         return cls(
-            claim_tokens=row.claimed_tokens,
-            accepted_tokens=row.claimed_tokens,
+            claim_tokens=claim.claimed_tokens,
+            accepted_tokens=claim.claimed_tokens,
             spent_tokens=lost,
             adopted_tokens=lost,
-            adopted_used_tokens=row.used_tokens,
+            adopted_used_tokens=claim.used_tokens,
         )
 
-    def free_adopted(self, row: AccountClaim, age_s: float) -> None:
+    def free_adopted(self, claim: AccountClaim, age_s: float) -> None:
         """Free what :meth:`adopted` counted as spent before the maximum age ``age_s``
-        of ``row`` was known."""
-        beyond = min(row.claimed_tokens - row.limit_tokens(age_s), self.adopted_tokens)
+        of the row was known."""
+        beyond = min(
+            claim.claimed_tokens - claim.limit_tokens(age_s), self.adopted_tokens
+        )
         self.spent_tokens -= beyond
         self.adopted_tokens -= beyond
 
@@ -153,12 +155,12 @@
 
     @property
     def used_tokens(self) -> int:
-        """Known use by this run and the earlier ones."""
+        """Known use by this incarnation and the earlier ones."""
         return self.spent_tokens - self.adopted_tokens + self.adopted_used_tokens
 
     @property
     def lost_tokens(self) -> int:
-        """What earlier runs claimed and may not have used."""
+        """What earlier incarnations claimed and may not have used."""
         return self.adopted_tokens - self.adopted_used_tokens
 
     def rate_tokens_per_s(self, now_s: float) -> float:
--- a/src/celerytrack/row_age.py
+++ b/src/celerytrack/row_age.py
@@ -1,7 +1,7 @@
 """The age of an entry's last row when its process restarted, without I/O.
 
-The age bounds what the earlier run may have spent. A monotonic clock lasts as long as
-its instance is up; a wall clock may be set.
+The age bounds what the earlier incarnation may have spent. A monotonic clock lasts as
+long as its instance is up; a wall clock may be set.
 """
 
 import statistics
@@ -16,12 +16,12 @@
 def age_at_start_s(
     last: Member, started_s: float, clock_offset_s: float
 ) -> float | None:
-    """The age of ``last`` when this run started; ``None`` if the monotonic clock cannot
-    tell, because the instance itself restarted meanwhile.
+    """The age of ``last`` when this incarnation started; ``None`` if the monotonic
+    clock cannot tell, because the instance itself restarted meanwhile.
 
-    :param last: the last row of the earlier run on the same instance.
-    :param started_s: when this run started, on the monotonic clock.
-    :param clock_offset_s: this run's wall clock minus its monotonic clock.
+    :param last: the last row of the earlier incarnation on the same instance.
+    :param started_s: when this incarnation started, on the monotonic clock.
+    :param clock_offset_s: this incarnation's wall clock minus its monotonic clock.
     """
     same_boot = abs(clock_offset_s - last.clock_offset_s) < CLOCK_SLACK_S
     age_s = started_s - last.made_s
@@ -46,7 +46,7 @@
     recorded in the row, and must agree now, by the common start times: fewer than half
     of all clocks are set at one time.
 
-    :param previous: the last row of the earlier run.
+    :param previous: the last row of the earlier incarnation.
     :param current: this entry's present row.
     :param others: the rows of the other entries.
     """
@@ -79,7 +79,7 @@
     Covers single instances that lose power for seconds while the others keep serving.
     Without it, the whole claim of the entry would count as spent.
 
-    :param previous: the last row of the earlier run.
+    :param previous: the last row of the earlier incarnation.
     :param current: this entry's present row.
     :param lead_s: how far its wall clock is ahead of most others' now, by rows that
         were read promptly; ``None`` if there were too few.
@@ -99,8 +99,8 @@
 def _age_s(
     previous: Member, current: Member, lead_s: float, behind_s: float
 ) -> float | None:
-    """Upper bound of the age of ``previous`` at the start of this run, by a wall clock
-    that was not set; ``None`` if ``previous`` appears to be made after the start.
+    """Upper bound of the age of ``previous`` at the start of this incarnation, by a
+    wall clock that was not set; ``None`` if ``previous`` appears to be made later.
 
     Adds what makes the row look too new: how far the clock may have been ahead before,
     beyond the age of rows when they are read, and how far it may be behind now.
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -204,7 +204,7 @@
         ({"epoch": 9, "era": OLD}, {"epoch": 2, "started_s": 5.0, "era": NEW}, True),
     )
     def test_only_a_newer_row_replaces_another(self, known, read, replaced):
-        """Guards against announcing a leaving entry to clients, from its old row."""
+        """Guards against announcing a leaving entry to callers, from its old row."""
         view = MemberView(ME)
         view.fold(_member(**known, state=MemberState.LEAVING), 0.0)
         view.fold(_member(**read), 1.0)
--- a/tests/test_escrow_model.py
+++ b/tests/test_escrow_model.py
@@ -1,7 +1,7 @@
 """Randomised model-based runs of the escrow over a modelled log.
 
 Several entries share one ledger stream. Each step is an operator top-up, a
-requested grant, a request served and billed (for clients that also retry at
+requested grant, a request served and billed (for callers that also retry at
 other entries), a lost reply (the record is appended again), a partition or heal,
 time passing beyond leases, a settle, a crash, or a grant reclaimed from a holder
 that may still be alive. Invariants are asserted after every step.
@@ -32,14 +32,14 @@
 ACCOUNTS = [AccountId("a"), AccountId("b")]
 ENTRIES = [EntryId(f"e{i}") for i in range(3)]
 REQUESTS = [RequestId(f"r{i}") for i in range(6)]
-"""Few ids, so that clients' retries at other entries are common."""
+"""Few ids, so that callers' retries at other entries are common."""
 LEASE_S = 10.0
 MAX_TOPUPS = 4
 """Fewer top-ups than requests, so that budgets are often nearly spent."""
 
 
 class _Process:
-    """One run of one entry: its fold, its escrow and its writer."""
+    """One incarnation of one entry: its fold, its escrow and its writer."""
 
     def __init__(self, entry: EntryId, boot: int) -> None:
         self.entry = entry
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -185,7 +185,7 @@
         """Guards against a limit per grant without one on what an entry holds. 20
         marking jobs arrive at one entry in 0.2 s, each finds less available than the
         rate calls for, and each takes another grant. When that entry dies, 18 of its
-        20 clients are refused at the other one, though two thirds of the budget are
+        20 callers are refused at the other one, though two thirds of the budget are
         unspent."""
         free, available = 200_000, 0
         for i in range(20):
@@ -226,9 +226,9 @@
         ("e2", "b9", ["e2"], 60.0, True),
         ("e2", "b9", ["e2"], 59.0, False),  # the lease may still run
         ("e2", "b9", [], 600.0, False),  # still listed: it may only be partitioned
-        ("e1", "b0", [], 0.0, True),  # an earlier run of this entry
-        ("e1", "b1", ["e1"], 600.0, False),  # the present run
-        ("e1", "b2", [], 600.0, False),  # a run that replaces this one
+        ("e1", "b0", [], 0.0, True),  # an earlier incarnation of this entry
+        ("e1", "b1", ["e1"], 600.0, False),  # the present incarnation
+        ("e1", "b2", [], 600.0, False),  # an incarnation that replaces this one
     )
     def test_reclaimable(self, holder, boot, gone, ago_s, reclaimed):
         grant = OpenGrant(GrantId("g"), A, EntryId(holder), boot, 10)
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -80,21 +80,21 @@
         until the rest unlocked at a row age of 4 s. At a power loss all immediate
         tokens counted as spent, however short the time: 7 to 11 % of every total."""
         book = _book()
-        row = _write(book, 2, 0.0)
+        claim = _write(book, 2, 0.0)
         ages_s = (UNLOCK_DELAY_S, UNLOCK_DELAY_S + 0.2, 2.0, 4.0, OLD_S)
         left = [book.available_tokens(A, age_s) for age_s in ages_s]
-        self.assertEqual(left[0], row.immediate_tokens)
+        self.assertEqual(left[0], claim.immediate_tokens)
         self.assertEqual(left, sorted(set(left)))
-        self.assertEqual(left[-1], row.claimed_tokens)
+        self.assertEqual(left[-1], claim.claimed_tokens)
 
     @params(0.0, 0.5, 1.7, 3.5, 9.0)
     def test_the_next_run_counts_what_may_have_been_spent_by_then(self, age_s):
         book = _book()
-        row = _write(book, 2, 0.0)
+        claim = _write(book, 2, 0.0)
         spendable = book.available_tokens(A, age_s)
         after = PrepaidBudgets(ME)
         after.set_totals({A: TOTAL})
-        after.fold(ME, {A: row})
+        after.fold(ME, {A: claim})
         after.adopt(age_s)
         after.return_unspent()
         self.assertEqual(after.make_row(age_s)[A].claimed_tokens, spendable)
@@ -102,14 +102,14 @@
     @params(0, 100, 1_000, 2_000, 3_000)
     def test_free_in_s_is_when_the_tokens_unlock(self, more):
         book = _book()
-        row = _write(book, 2, 0.0)
-        tokens = row.immediate_tokens + more
+        claim = _write(book, 2, 0.0)
+        tokens = claim.immediate_tokens + more
         after_s = book.free_in_s(A, tokens, 0.5)
         self.assertLess(
             book.available_tokens(A, 0.5 + after_s - 0.01), tokens + (more == 0)
         )
         self.assertGreaterEqual(book.available_tokens(A, 0.5 + after_s + 0.01), tokens)
-        self.assertIsNone(book.free_in_s(A, row.claimed_tokens + 1, 0.5))
+        self.assertIsNone(book.free_in_s(A, claim.claimed_tokens + 1, 0.5))
 
     def test_the_next_row_covers_a_waiting_request_in_full(self):
         """Guards against a next row that covers only what the last one lacked. Its
@@ -117,9 +117,9 @@
         1,985 available, though the log replied and the claim sufficed: the row was a
         second old, and the request still lacked what that second had unlocked."""
         book = _book()
-        row = _write(book, 2, 0.0)
+        claim = _write(book, 2, 0.0)
         free = book.available_tokens(A, OUTAGE_AGE_S)
-        self.assertGreater(free, row.immediate_tokens)
+        self.assertGreater(free, claim.immediate_tokens)
         self.assertIsNone(book.reserve(A, free + 10, OUTAGE_AGE_S))
         _write(book, 2, OUTAGE_AGE_S)
         self.assertIsNotNone(book.reserve(A, free + 10, OUTAGE_AGE_S))
@@ -127,8 +127,8 @@
     def test_a_row_in_flight_and_the_folded_row_both_limit(self):
         """Guards against a limit taken from the newest row alone. A row that allows
         more is in flight, the entry spends by it and is killed, and the append is
-        lost. The next run finds the previous row and counts less than was spent,
-        so the total is overspent."""
+        lost. The next incarnation finds the previous row and counts less than was
+        spent, so the total is overspent."""
         book = _book()
         before = _write(book, 2, 0.0)
         reservation = book.reserve(A, before.immediate_tokens, 0.1)
@@ -183,9 +183,9 @@
 
 class ConcentratedSpendTest(unittest.TestCase):
     def test_an_idle_entry_releases_an_account_that_others_spend(self):
-        """Guards against equal shares whichever entry spends. Clients keep connections,
+        """Guards against equal shares whichever entry spends. Callers keep connections,
         so an account's requests come through one entry. In a partition these were
-        refused while other entries without clients held most of the total."""
+        refused while other entries without callers held most of the total."""
         idle, busy = _book(), PrepaidBudgets(PEER)
         first = _write(idle, 2, 0.0).claimed_tokens
         idle.fold(PEER, {A: AccountClaim(60_000, 50_000, 40_000, 0, 0, 4_000)})
@@ -249,16 +249,16 @@
 
 class TransferTest(unittest.TestCase):
     def test_a_transfer_moves_tokens_and_never_creates_any(self):
-        sender, recipient = _book(), PrepaidBudgets(PEER)
-        recipient.set_totals({A: TOTAL})
+        sender, receiver = _book(), PrepaidBudgets(PEER)
+        receiver.set_totals({A: TOTAL})
         before = sender.available_tokens(A, 0.1)
         moved = sender.transfer_out(A, 500, 0.1)
-        recipient.transfer_in(A, moved)
+        receiver.transfer_in(A, moved)
         self.assertEqual(moved, 500)
         self.assertEqual(sender.available_tokens(A, 0.1), before - 500)
-        self.assertEqual(recipient.available_tokens(A, 0.1), 500)
-        self.assertIsNone(recipient.reserve(A, 501, 0.1))
-        self.assertIsNotNone(recipient.reserve(A, 500, 0.1))
+        self.assertEqual(receiver.available_tokens(A, 0.1), 500)
+        self.assertIsNone(receiver.reserve(A, 501, 0.1))
+        self.assertIsNotNone(receiver.reserve(A, 500, 0.1))
 
     def test_no_more_is_transferred_than_is_available(self):
         sender = _book()
@@ -388,15 +388,15 @@
     apart, each worth 10 s of the account's spend there. In a partition of all entries
     each was refused, and a power loss of 3 s cost the account 4 s of its spend."""
 
-    row = AccountClaim(
+    claim = AccountClaim(
         claimed_tokens=12_000, immediate_tokens=0, unlock_tokens_per_s=800
     )
 
     def test_a_prompt_of_10_s_of_spend_is_served_within_half_a_partition(self):
-        self.assertLess(self.row.free_in_s(8_000, 0.0), 4.5)
+        self.assertLess(self.claim.free_in_s(8_000, 0.0), 4.5)
 
     def test_a_power_loss_of_3_s_costs_less_than_3_s_of_spend(self):
-        self.assertLess(self.row.limit_tokens(3.3), 3.0 * 800)
+        self.assertLess(self.claim.limit_tokens(3.3), 3.0 * 800)
 
 
 class SinglePowerLossTest(unittest.TestCase):
@@ -468,7 +468,7 @@
     def test_rows_delayed_by_a_partition_do_not_hide_a_correct_clock(self):
         """Guards against judging a clock by the newest row of each entry alone. The log
         is away for 8 s, so that each entry's row is 8 s old when it lands; most entries
-        write the next one seconds later. Entries with clients write rows meanwhile
+        write the next one seconds later. Entries with callers write rows meanwhile
         which say that their clock is 8 s ahead. After a power loss, the age of such a
         row is unknown and its whole claim counts as spent: in a fleet of 195 a third of
         the paid requests was refused from then to the end of the day."""
@@ -521,14 +521,14 @@
 
 
 class WideLinksTest(unittest.TestCase):
-    """Guards against announcing all entries to clients whatever their links carry. The
-    largest account's clients stayed with one entry of 64, on a link of 5 Mbit/s. 75
+    """Guards against announcing all entries to callers whatever their links carry. The
+    largest account's callers stayed with one entry of 64, on a link of 5 Mbit/s. 75
     requests per second and the other entries' rows filled it for a whole day, replies
     took seconds and requests were refused because its rows were 10.3 s old, while six
     entries with links of 100 Mbit/s were nearly idle."""
 
     @params(
-        # links, the slowest one that takes clients
+        # links, the slowest one that takes callers
         ([], 0.0),
         ([NARROW] * 9, NARROW / UNEQUAL_TIMES),
         ([0.0] * 9, 0.0),
@@ -544,7 +544,7 @@
         self.assertEqual(least_link_mbps(links_mbps), least_mbps)
 
     @params(
-        # an entry's own link, and how many parts the clients, the fleet-wide limits
+        # an entry's own link, and how many parts the callers, the fleet-wide limits
         # and the accounts are divided into
         (WIDE, 6, 6, 6),
         (NARROW, 7, 64, math.inf),
@@ -592,8 +592,8 @@
 
 
 class StickyClientsTest(unittest.TestCase):
-    """Guards against treating an entry with clients of its own as idle because it is
-    not announced. The clients of a large account stay with one entry, whatever is
+    """Guards against treating an entry with callers of its own as idle because it is
+    not announced. The callers of a large account stay with one entry, whatever is
     announced. That entry wrote rows at the rate of one of 64 idle ones, two per second
     instead of six times as many, and counted each of its prompts at an engine as seven.
     A fifth of all requests came through it, and a third of these were late or refused
@@ -605,7 +605,7 @@
     @params(
         # what the entry spends, its link, and the expected division
         (20_000, NARROW, 7, 7),
-        # An occasional request does not count as clients of its own.
+        # An occasional request does not count as callers of its own.
         (900, NARROW, 64, 7),
     )
     def test_an_unannounced_entry_with_clients_of_its_own_counts_as_taking(
@@ -644,7 +644,7 @@
 
 class UnspentImmediateTest(unittest.TestCase):
     """Guards against immediate tokens that depend on the recent spend alone and not on
-    what is left. The account's clients stay with one entry and send in bursts that use
+    what is left. The account's callers stay with one entry and send in bursts that use
     more than 0.3 s of spend, and no new row arrives. Requests were refused with 0.93 of
     the total of 2,616,792 left, as long as the store lost replies and in the first
     second of each partition: one for 5,582 tokens with 605 available, under a row that
--- a/tests/test_prepaid_fleet.py
+++ b/tests/test_prepaid_fleet.py
@@ -65,9 +65,9 @@
     @params((1,), (2,))
     def test_an_account_with_sticky_clients_does_not_wait_for_rows(self, seed):
         """Guards against the row rate of an idle entry, two per second, at an entry
-        that is not announced but has clients: a request that lacked tokens waited for a
+        that is not announced but has callers: a request that lacked tokens waited for a
         row or was refused. In a fleet of 195 with 15 announced entries, a third of the
-        requests came through two others, with which the clients of the largest accounts
+        requests came through two others, with which the callers of the largest accounts
         stay, and a quarter of these were late. One waited 350 ms for tokens: its first
         token came at 391 ms, with 34 ms predicted and a target of 311 ms."""
         mix = tuple(attrs.evolve(work, target_s=0.1) for work in MIX)
@@ -83,7 +83,7 @@
     def test_a_power_loss_soon_after_a_partition_loses_few_tokens(self, seed):
         """Guards against taking delayed rows for a clock that was set, see
         ``ClockLeadTest``. Here most entries, which write a row each second, have not
-        written since the partition ended 1 s ago. Entries with clients took their old
+        written since the partition ended 1 s ago. Entries with callers took their old
         rows for clocks that had been set, so all that they had claimed counted as
         spent, in one case 464,335 of 3,242,382 tokens. In a fleet of 195, a third of
         the paid requests was refused after a power loss 3 s after a partition."""
--- a/tests/test_prepaid_model.py
+++ b/tests/test_prepaid_model.py
@@ -7,8 +7,8 @@
 what requests used or may still use must fit the total.
 
 A scripted run must catch two naive variants, which tests the checker: an entry that
-ignores the claim of its earlier run, and one that spends its claim in a partition
-while its next run assumes that the row it left was new.
+ignores the claim of its earlier incarnation, and one that spends its claim in a
+partition while its next incarnation assumes that the row it left was new.
 """
 
 import unittest
@@ -30,8 +30,8 @@
 from celerytrack.row_age import age_at_start_s
 
 LONG_S = 5.0
-"""A partition in which an entry spends more than its next run counts if that assumes
-the row to be as new as possible."""
+"""A partition in which an entry spends more than its next incarnation counts if that
+assumes the row to be as new as possible."""
 ACCOUNT = AccountId("a")
 ENTRIES = [EntryId(f"e{i}") for i in range(3)]
 TOTAL = 10_000
@@ -169,12 +169,12 @@
 
     @rule(i=indexes, j=indexes, tokens=st.integers(1, 2_000), lost=st.booleans())
     def transfer(self, i: int, j: int, tokens: int, lost: bool) -> None:
-        sender, recipient = self.machines[i], self.machines[j]
+        sender, receiver = self.machines[i], self.machines[j]
         if i == j:
             return
         moved = sender.book.transfer_out(ACCOUNT, tokens, sender.clock_s(self.now_s))
         if not lost:
-            recipient.book.transfer_in(ACCOUNT, moved)
+            receiver.book.transfer_in(ACCOUNT, moved)
 
     @rule(i=indexes, power=st.booleans(), down_s=st.sampled_from([0.5, 1.5, 6.0]))
     def kill(self, i: int, power: bool, down_s: float) -> None:
@@ -215,13 +215,13 @@
 
 
 class IgnoringMachine(PrepaidMachine):
-    """Naive: a new run ignores the claim of the previous one."""
+    """Naive: the next incarnation ignores the claim of the previous one."""
 
     ignores_claim = True
 
 
 class TrustingMachine(PrepaidMachine):
-    """Naive: a new run assumes that the row it finds was new."""
+    """Naive: the next incarnation assumes that the row it finds was new."""
 
     assumes_new = True
 
