--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -70,21 +70,21 @@
         self.assertEqual(decode_era(value), era)
 
 
-def _book(claimed=30_000, own=10_000):
+def _budgets(claimed=30_000, own=10_000):
     """Budgets with a large claim of a peer and a row of this entry, both of ``OLD``."""
-    book = PrepaidBudgets(ME)
-    book.set_totals({A: TOTAL})
-    book.fold(PEER, {A: AccountClaim(claimed, 5_000, 2_000)}, OLD)
-    book.fold(ME, {A: AccountClaim(own, own)}, OLD)
-    return book
+    budgets = PrepaidBudgets(ME)
+    budgets.set_totals({A: TOTAL})
+    budgets.fold(PEER, {A: AccountClaim(claimed, 5_000, 2_000)}, OLD)
+    budgets.fold(ME, {A: AccountClaim(own, own)}, OLD)
+    return budgets
 
 
-def _write(book, era, now_s):
+def _write(budgets, era, now_s):
     """Write a row of this entry, made in ``era``."""
-    book.plan(2, now_s)
-    row = book.make_row(now_s)
-    book.fold(ME, row, era)
-    book.confirm_row()
+    budgets.plan(2, now_s)
+    row = budgets.make_row(now_s)
+    budgets.fold(ME, row, era)
+    budgets.confirm_row()
     return row
 
 
@@ -99,16 +99,16 @@
     )
     def test_only_its_owner_lowers_a_claim(self, row, era, counts):
         """Guards against spending the tokens of a claim twice that the backup lacks."""
-        book = _book()
-        book.on_log_restored(NEW, {PEER}, 0.0)
-        book.fold(PEER, row, era)
-        self.assertEqual(book.rows.claimed_tokens(A) - 10_000, counts)
+        budgets = _budgets()
+        budgets.on_log_restored(NEW, {PEER}, 0.0)
+        budgets.fold(PEER, row, era)
+        self.assertEqual(budgets.rows.claimed_tokens(A) - 10_000, counts)
 
     def test_the_claim_of_an_entry_missing_in_the_backup_still_counts(self):
-        book = _book()
-        book.on_log_restored(NEW, {PEER}, 0.0)
-        book.retain_entries({ME})
-        self.assertEqual(book.rows.claimed_tokens(A), 40_000)
+        budgets = _budgets()
+        budgets.on_log_restored(NEW, {PEER}, 0.0)
+        budgets.retain_entries({ME})
+        self.assertEqual(budgets.rows.claimed_tokens(A), 40_000)
 
     @params(
         # Entries that write in the new era, time of the check, whether allowances rise.
@@ -119,71 +119,71 @@
     )
     def test_no_allowance_rises_until_all_have_written(self, writers, at_s, rises):
         """Guards against claiming tokens that seem free because a claim was lost."""
-        book = _book()
-        book.fold(THIRD, {A: AccountClaim(1_000, 1_000)}, OLD)
-        book.on_log_restored(NEW, {PEER, THIRD}, 0.0)
-        _write(book, NEW, 0.1)
-        before = book._share(A).accepted_tokens
+        budgets = _budgets()
+        budgets.fold(THIRD, {A: AccountClaim(1_000, 1_000)}, OLD)
+        budgets.on_log_restored(NEW, {PEER, THIRD}, 0.0)
+        _write(budgets, NEW, 0.1)
+        before = budgets._share(A).accepted_tokens
         for writer in writers:
-            book.fold(writer, {A: AccountClaim(1_000, 1_000)}, NEW)
-        book.request_claim(A, 20_000)
-        _write(book, NEW, at_s)
-        self.assertEqual(book._share(A).accepted_tokens > before, rises)
+            budgets.fold(writer, {A: AccountClaim(1_000, 1_000)}, NEW)
+        budgets.request_claim(A, 20_000)
+        _write(budgets, NEW, at_s)
+        self.assertEqual(budgets._share(A).accepted_tokens > before, rises)
 
     def test_a_row_of_the_old_era_does_not_end_the_hold(self):
         """An append of the old era that lands late, in the new one, has an older claim
         than its owner."""
-        book = _book()
-        book.on_log_restored(NEW, {PEER}, 0.0)
-        book.fold(PEER, {A: AccountClaim(1_000, 1_000)}, OLD)
-        _write(book, NEW, 1.0)
-        self.assertTrue(book.restore_hold.active)
-        self.assertEqual(book.rows.claimed_tokens(A), 30_000)
+        budgets = _budgets()
+        budgets.on_log_restored(NEW, {PEER}, 0.0)
+        budgets.fold(PEER, {A: AccountClaim(1_000, 1_000)}, OLD)
+        _write(budgets, NEW, 1.0)
+        self.assertTrue(budgets.restore_hold.active)
+        self.assertEqual(budgets.rows.claimed_tokens(A), 30_000)
 
     def test_allowances_survive_a_restore(self):
         """Guards against a restore that takes tokens that an outage would leave."""
-        book = _book()
-        _write(book, OLD, 0.0)
-        left = book.available_tokens(A, 0.5)
+        budgets = _budgets()
+        _write(budgets, OLD, 0.0)
+        left = budgets.available_tokens(A, 0.5)
         self.assertGreater(left, 0)
-        book.on_log_restored(NEW, {PEER}, 0.5)
-        book.fold(ME, {}, None)
-        self.assertEqual(book.available_tokens(A, 0.5), left)
+        budgets.on_log_restored(NEW, {PEER}, 0.5)
+        budgets.fold(ME, {}, None)
+        self.assertEqual(budgets.available_tokens(A, 0.5), left)
 
     def test_transfers_stay_accounted(self):
-        book = _book()
-        _write(book, OLD, 0.0)
-        moved = book.transfer_out(A, 100, 0.5)
-        book.transfer_in(A, 40)
-        floor = book._share(A).floor_tokens
-        book.on_log_restored(NEW, {PEER}, 0.5)
-        row = _write(book, NEW, 1.0)
-        self.assertEqual((moved, book._share(A).floor_tokens), (100, floor))
+        budgets = _budgets()
+        _write(budgets, OLD, 0.0)
+        moved = budgets.transfer_out(A, 100, 0.5)
+        budgets.transfer_in(A, 40)
+        floor = budgets._share(A).floor_tokens
+        budgets.on_log_restored(NEW, {PEER}, 0.5)
+        row = _write(budgets, NEW, 1.0)
+        self.assertEqual((moved, budgets._share(A).floor_tokens), (100, floor))
         self.assertGreaterEqual(row[A].claimed_tokens, floor)
 
     def test_the_hold_lasts_until_the_own_row_is_on_the_log(self):
         """The time limit passes while this entry's own row is not on the log."""
-        book = _book()
-        book.on_log_restored(NEW, {PEER}, 0.0)
-        book.plan(2, 2 * MAX_HOLD_S)
-        self.assertTrue(book.restore_hold.active)
+        budgets = _budgets()
+        budgets.on_log_restored(NEW, {PEER}, 0.0)
+        budgets.plan(2, 2 * MAX_HOLD_S)
+        self.assertTrue(budgets.restore_hold.active)
 
     def test_another_restore_begins_a_new_hold(self):
-        book = _book()
-        book.on_log_restored(NEW, {PEER}, 0.0)
-        book.fold(PEER, {A: AccountClaim(40_000, 1_000)}, NEW)
-        book.on_log_restored(NEWER, {PEER}, 0.5)
-        book.fold(PEER, {A: AccountClaim(8_000, 1_000)}, NEW)
-        self.assertEqual(book.rows.claimed_tokens(A) - 10_000, 40_000)
-        _write(book, NEWER, 1.0)
-        self.assertTrue(book.restore_hold.active)
+        budgets = _budgets()
+        budgets.on_log_restored(NEW, {PEER}, 0.0)
+        budgets.fold(PEER, {A: AccountClaim(40_000, 1_000)}, NEW)
+        budgets.on_log_restored(NEWER, {PEER}, 0.5)
+        budgets.fold(PEER, {A: AccountClaim(8_000, 1_000)}, NEW)
+        self.assertEqual(budgets.rows.claimed_tokens(A) - 10_000, 40_000)
+        _write(budgets, NEWER, 1.0)
+        self.assertTrue(budgets.restore_hold.active)
 
     def test_a_leaving_entry_returns_unspent_tokens_during_a_hold(self):
-        book = _book()
-        _write(book, OLD, 0.0)
-        book.on_log_restored(NEW, {PEER}, 0.5)
-        book.return_unspent()
-        row = _write(book, NEW, 1.0)
+        budgets = _budgets()
+        _write(budgets, OLD, 0.0)
+        budgets.on_log_restored(NEW, {PEER}, 0.5)
+        budgets.return_unspent()
+        row = _write(budgets, NEW, 1.0)
         self.assertEqual(row[A].claimed_tokens, 0)
 
 
@@ -224,12 +224,12 @@
 
 class RestoredRegistrationTest(unittest.TestCase):
     def _left(self, forgotten):
-        book = EndpointBook(Zone("z"), random.Random(1))
-        book.register(_registration(5), 0.0)
-        book.dropped(EndpointId("e"), 1.0)
+        pool = EndpointBook(Zone("z"), random.Random(1))
+        pool.register(_registration(5), 0.0)
+        pool.dropped(EndpointId("e"), 1.0)
         if forgotten:
-            book.forget_gone(1.1 + GONE_GRACE_S)
-        return book
+            pool.forget_gone(1.1 + GONE_GRACE_S)
+        return pool
 
     @params(
         # Whether the endpoint is forgotten, the record in the backup, the result.
@@ -245,10 +245,10 @@
     ):
         """Guards against sending requests to an endpoint that left, because the backup
         holds its last record."""
-        book = self._left(forgotten)
-        book.restored()
-        self.assertIs(book.register(record, 2.0), result)
-        registered = book.ids() == [EndpointId("e")]
+        pool = self._left(forgotten)
+        pool.restored()
+        self.assertIs(pool.register(record, 2.0), result)
+        registered = pool.ids() == [EndpointId("e")]
         self.assertIs(registered, result is not Registered.STALE)
 
     def test_without_a_restore_a_lapsed_record_is_unchanged_when_it_returns(self):
@@ -257,10 +257,10 @@
         )
 
     def test_missing_registrations_expire(self):
-        book = EndpointBook(Zone("z"), random.Random(1))
-        book.restores.mark_missing(EndpointId("e"), 1.0)
-        book.restores.mark_missing(EndpointId("f"), 1.0)
-        book.restores.mark_written(EndpointId("f"))
-        self.assertEqual(book.restores.pop_expired(0.9 + REWRITE_GRACE_S), [])
-        self.assertEqual(book.restores.pop_expired(1.0 + REWRITE_GRACE_S), ["e"])
-        self.assertEqual(book.restores.pop_expired(9.0), [])
+        pool = EndpointBook(Zone("z"), random.Random(1))
+        pool.restores.mark_missing(EndpointId("e"), 1.0)
+        pool.restores.mark_missing(EndpointId("f"), 1.0)
+        pool.restores.mark_written(EndpointId("f"))
+        self.assertEqual(pool.restores.pop_expired(0.9 + REWRITE_GRACE_S), [])
+        self.assertEqual(pool.restores.pop_expired(1.0 + REWRITE_GRACE_S), ["e"])
+        self.assertEqual(pool.restores.pop_expired(9.0), [])
--- a/tests/test_escrow_model.py
+++ b/tests/test_escrow_model.py
@@ -45,7 +45,7 @@
         self.entry = entry
         self.boot_id = f"b{boot}"
         self.fold = Ledger()
-        self.book = Escrow(entry)
+        self.escrow = Escrow(entry)
         self.seq = 0
         self.requested: dict[str, HeldGrant] = {}
         self.bills: dict[int, Bill] = {}
@@ -93,14 +93,14 @@
                 continue
             held = process.requested.pop(str(record.get("grant_id")), None)
             if held is not None and held.grant_id in process.fold.grants:
-                process.book.add(held)
+                process.escrow.add(held)
             bill = process.bills.pop(int(str(record["seq"])), None)
             if bill is not None and outcomes:
-                process.book.confirm(bill.charges, outcomes[0])
+                process.escrow.confirm(bill.charges, outcomes[0])
                 if outcomes[0] is BillOutcome.VOID:
                     for grant_id, _ in bill.charges:
                         if grant_id not in process.fold.grants:
-                            process.book.remove(grant_id)
+                            process.escrow.remove(grant_id)
 
     @initialize()
     def budgets(self) -> None:
@@ -140,12 +140,12 @@
         size = min(tokens, process.fold.account(account).free_tokens)
         if entry in self.partitioned or size <= 0:
             return
-        grant_id = process.book.new_grant_id(process.boot_id)
+        grant_id = process.escrow.new_grant_id(process.boot_id)
         held = HeldGrant(grant_id, account, size, self.now_s + LEASE_S)
         if self.waits_for_fold:
             process.requested[grant_id] = held
         else:
-            process.book.add(held)
+            process.escrow.add(held)
         record = {
             "type": "grant",
             "account": account,
@@ -175,10 +175,10 @@
     ) -> None:
         # Every request spends its whole reservation, the worst case for overspend.
         process = self.processes[entry]
-        reservation = process.book.reserve(request, account, tokens, self.now_s)
+        reservation = process.escrow.reserve(request, account, tokens, self.now_s)
         if reservation is None:
             return
-        charges = process.book.commit(reservation, tokens)
+        charges = process.escrow.commit(reservation, tokens)
         if not self.waits_for_fold:
             self.completed[account] += tokens
         if entry in self.partitioned:
@@ -213,8 +213,8 @@
         process = self.processes[entry]
         if entry in self.partitioned:
             return
-        for grant in process.book.settleable(self.now_s):
-            process.book.remove(grant.grant_id)
+        for grant in process.escrow.settleable(self.now_s):
+            process.escrow.remove(grant.grant_id)
             self._append(
                 process, {"type": "settle", "grant_id": grant.grant_id}, copies
             )
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -129,12 +129,12 @@
         self.assertEqual(ledger.account(A).budget_tokens, 100)
 
 
-class EscrowBookTest(unittest.TestCase):
-    def _book(self, *sizes: int) -> Escrow:
-        book = Escrow(EntryId("e1"))
+class EscrowTest(unittest.TestCase):
+    def _escrow(self, *sizes: int) -> Escrow:
+        escrow = Escrow(EntryId("e1"))
         for i, size in enumerate(sizes):
-            book.add(HeldGrant(GrantId(f"g{i}"), A, size, usable_until_s=100.0))
-        return book
+            escrow.add(HeldGrant(GrantId(f"g{i}"), A, size, usable_until_s=100.0))
+        return escrow
 
     @params(
         # grants, tokens to reserve, now_s, whether reserved
@@ -144,8 +144,8 @@
         ((50,), 10, 100.0, False),  # lease ended
     )
     def test_reserve(self, sizes, tokens, now_s, reserved):
-        book = self._book(*sizes)
-        got = book.reserve(RequestId("r"), A, tokens, now_s)
+        escrow = self._escrow(*sizes)
+        got = escrow.reserve(RequestId("r"), A, tokens, now_s)
         self.assertEqual(got is not None, reserved)
 
     @params(
@@ -156,15 +156,15 @@
         (40, 25, 25, DUPLICATE, 50),  # billed by another entry: free again
     )
     def test_commit_and_confirm(self, reserve, spent, charged, outcome, left):
-        book = self._book(50)
-        reservation = book.reserve(RequestId("r"), A, reserve, 0.0)
+        escrow = self._escrow(50)
+        reservation = escrow.reserve(RequestId("r"), A, reserve, 0.0)
         assert reservation is not None
-        charges = book.commit(reservation, spent)
+        charges = escrow.commit(reservation, spent)
         self.assertEqual(sum(n for _, n in charges), charged)
-        self.assertEqual(bool(book.settleable(200.0)), not charges)
-        book.confirm(charges, outcome)
-        self.assertEqual(book.available(A, 0.0), left)
-        self.assertTrue(book.settleable(200.0))
+        self.assertEqual(bool(escrow.settleable(200.0)), not charges)
+        escrow.confirm(charges, outcome)
+        self.assertEqual(escrow.available(A, 0.0), left)
+        self.assertTrue(escrow.settleable(200.0))
 
 
 class GrantSizeTest(unittest.TestCase):
@@ -212,12 +212,12 @@
         self.assertEqual((got.grant_tokens, got.others_tokens), (grant, others))
 
     def test_the_rate_is_that_of_recent_reservations(self):
-        book = Escrow(EntryId("e1"))
-        book.add(HeldGrant(GrantId("g"), A, 100_000, usable_until_s=1000.0))
+        escrow = Escrow(EntryId("e1"))
+        escrow.add(HeldGrant(GrantId("g"), A, 100_000, usable_until_s=1000.0))
         for i in range(200):
-            book.reserve(RequestId(f"r{i}"), A, 100, float(i))
-        self.assertAlmostEqual(book.rate_tokens_per_s(A, 200.0), 100.0, delta=5.0)
-        self.assertLess(book.rate_tokens_per_s(A, 320.0), 5.0)
+            escrow.reserve(RequestId(f"r{i}"), A, 100, float(i))
+        self.assertAlmostEqual(escrow.rate_tokens_per_s(A, 200.0), 100.0, delta=5.0)
+        self.assertLess(escrow.rate_tokens_per_s(A, 320.0), 5.0)
 
 
 class ReclaimableTest(unittest.TestCase):
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -36,20 +36,22 @@
 TOTAL = 100_000
 
 
-def _book(total: int = TOTAL, entries: int = 2, now_s: float = 0.0) -> PrepaidBudgets:
+def _budgets(
+    total: int = TOTAL, entries: int = 2, now_s: float = 0.0
+) -> PrepaidBudgets:
     """Budgets whose first row is on the log."""
-    book = PrepaidBudgets(ME)
-    book.set_totals({A: total})
-    book.adopt(None)
-    _write(book, entries, now_s)
-    return book
-
-
-def _write(book: PrepaidBudgets, entries: int, now_s: float) -> AccountClaim:
-    book.plan(entries, now_s)
-    row = book.make_row(now_s)
-    book.fold(ME, row)
-    book.confirm_row()
+    budgets = PrepaidBudgets(ME)
+    budgets.set_totals({A: total})
+    budgets.adopt(None)
+    _write(budgets, entries, now_s)
+    return budgets
+
+
+def _write(budgets: PrepaidBudgets, entries: int, now_s: float) -> AccountClaim:
+    budgets.plan(entries, now_s)
+    row = budgets.make_row(now_s)
+    budgets.fold(ME, row)
+    budgets.confirm_row()
     return row[A]
 
 
@@ -79,19 +81,19 @@
         In a partition the 3 s of immediate tokens ran out and requests were refused
         until the rest unlocked at a row age of 4 s. At a power loss all immediate
         tokens counted as spent, however short the time: 7 to 11 % of every total."""
-        book = _book()
-        claim = _write(book, 2, 0.0)
+        budgets = _budgets()
+        claim = _write(budgets, 2, 0.0)
         ages_s = (UNLOCK_DELAY_S, UNLOCK_DELAY_S + 0.2, 2.0, 4.0, OLD_S)
-        left = [book.available_tokens(A, age_s) for age_s in ages_s]
+        left = [budgets.available_tokens(A, age_s) for age_s in ages_s]
         self.assertEqual(left[0], claim.immediate_tokens)
         self.assertEqual(left, sorted(set(left)))
         self.assertEqual(left[-1], claim.claimed_tokens)
 
     @params(0.0, 0.5, 1.7, 3.5, 9.0)
     def test_the_next_run_counts_what_may_have_been_spent_by_then(self, age_s):
-        book = _book()
-        claim = _write(book, 2, 0.0)
-        spendable = book.available_tokens(A, age_s)
+        budgets = _budgets()
+        claim = _write(budgets, 2, 0.0)
+        spendable = budgets.available_tokens(A, age_s)
         after = PrepaidBudgets(ME)
         after.set_totals({A: TOTAL})
         after.fold(ME, {A: claim})
@@ -101,84 +103,86 @@
 
     @params(0, 100, 1_000, 2_000, 3_000)
     def test_free_in_s_is_when_the_tokens_unlock(self, more):
-        book = _book()
-        claim = _write(book, 2, 0.0)
+        budgets = _budgets()
+        claim = _write(budgets, 2, 0.0)
         tokens = claim.immediate_tokens + more
-        after_s = book.free_in_s(A, tokens, 0.5)
+        after_s = budgets.free_in_s(A, tokens, 0.5)
         self.assertLess(
-            book.available_tokens(A, 0.5 + after_s - 0.01), tokens + (more == 0)
+            budgets.available_tokens(A, 0.5 + after_s - 0.01), tokens + (more == 0)
         )
-        self.assertGreaterEqual(book.available_tokens(A, 0.5 + after_s + 0.01), tokens)
-        self.assertIsNone(book.free_in_s(A, claim.claimed_tokens + 1, 0.5))
+        self.assertGreaterEqual(
+            budgets.available_tokens(A, 0.5 + after_s + 0.01), tokens
+        )
+        self.assertIsNone(budgets.free_in_s(A, claim.claimed_tokens + 1, 0.5))
 
     def test_the_next_row_covers_a_waiting_request_in_full(self):
         """Guards against a next row that covers only what the last one lacked. Its
         tokens lock again with the new row, so a request for 2,000 was refused with
         1,985 available, though the log replied and the claim sufficed: the row was a
         second old, and the request still lacked what that second had unlocked."""
-        book = _book()
-        claim = _write(book, 2, 0.0)
-        free = book.available_tokens(A, OUTAGE_AGE_S)
+        budgets = _budgets()
+        claim = _write(budgets, 2, 0.0)
+        free = budgets.available_tokens(A, OUTAGE_AGE_S)
         self.assertGreater(free, claim.immediate_tokens)
-        self.assertIsNone(book.reserve(A, free + 10, OUTAGE_AGE_S))
-        _write(book, 2, OUTAGE_AGE_S)
-        self.assertIsNotNone(book.reserve(A, free + 10, OUTAGE_AGE_S))
+        self.assertIsNone(budgets.reserve(A, free + 10, OUTAGE_AGE_S))
+        _write(budgets, 2, OUTAGE_AGE_S)
+        self.assertIsNotNone(budgets.reserve(A, free + 10, OUTAGE_AGE_S))
 
     def test_a_row_in_flight_and_the_folded_row_both_limit(self):
         """Guards against a limit taken from the newest row alone. A row that allows
         more is in flight, the entry spends by it and is killed, and the append is
         lost. The next incarnation finds the previous row and counts less than was
         spent, so the total is overspent."""
-        book = _book()
-        before = _write(book, 2, 0.0)
-        reservation = book.reserve(A, before.immediate_tokens, 0.1)
+        budgets = _budgets()
+        before = _write(budgets, 2, 0.0)
+        reservation = budgets.reserve(A, before.immediate_tokens, 0.1)
         self.assertIsNotNone(reservation)
-        self.assertIsNone(book.reserve(A, 3_000, 0.1))
-        book.plan(2, 0.1)
+        self.assertIsNone(budgets.reserve(A, 3_000, 0.1))
+        budgets.plan(2, 0.1)
         self.assertGreater(
-            book.make_row(0.1)[A].immediate_tokens, before.limit_tokens(0.1)
+            budgets.make_row(0.1)[A].immediate_tokens, before.limit_tokens(0.1)
         )
         spendable = before.limit_tokens(0.1) - before.immediate_tokens
-        self.assertEqual(book.available_tokens(A, 0.1), spendable)
+        self.assertEqual(budgets.available_tokens(A, 0.1), spendable)
 
     def test_a_row_in_flight_lowers_the_limit_and_never_raises_it(self):
         """Guards against a limit taken from the folded row alone. A lower row is in
         flight, the entry spends up to the higher folded one, the append lands late,
         and others claim the freed tokens, so the total is overspent."""
-        book = _book()
-        high = book.available_tokens(A, 0.1)
-        book.return_unspent()
-        book.make_row(1.0)
-        book.set_totals({A: TOTAL + 1})
+        budgets = _budgets()
+        high = budgets.available_tokens(A, 0.1)
+        budgets.return_unspent()
+        budgets.make_row(1.0)
+        budgets.set_totals({A: TOTAL + 1})
         self.assertGreater(high, 0)
-        self.assertEqual(book.available_tokens(A, 1.1), 0)
+        self.assertEqual(budgets.available_tokens(A, 1.1), 0)
 
     def test_a_claim_that_does_not_fit_is_not_spent_and_is_withdrawn(self):
-        book = PrepaidBudgets(ME)
-        book.set_totals({A: TOTAL})
-        book.adopt(None)
-        book.plan(2, 0.0)
-        row = book.make_row(0.0)
-        book.fold(PEER, {A: AccountClaim(TOTAL, TOTAL)})
-        book.fold(ME, row)
-        book.confirm_row()
-        self.assertEqual(book.available_tokens(A, OLD_S), 0)
-        book.plan(2, 0.1)
-        self.assertEqual(book.make_row(0.1)[A].claimed_tokens, 0)
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({A: TOTAL})
+        budgets.adopt(None)
+        budgets.plan(2, 0.0)
+        row = budgets.make_row(0.0)
+        budgets.fold(PEER, {A: AccountClaim(TOTAL, TOTAL)})
+        budgets.fold(ME, row)
+        budgets.confirm_row()
+        self.assertEqual(budgets.available_tokens(A, OLD_S), 0)
+        budgets.plan(2, 0.1)
+        self.assertEqual(budgets.make_row(0.1)[A].claimed_tokens, 0)
 
     def test_no_allowance_rises_while_a_row_cannot_be_decoded(self):
         """Guards against treating an undecodable row as absent. Entries of two
         releases with different row formats run side by side and reject each other's
         rows. Each sees the whole total free and claims it: every account overspent."""
-        book = PrepaidBudgets(ME)
-        book.set_totals({A: TOTAL})
-        book.mark_unreadable(PEER)
-        book.adopt(None)
-        _write(book, 2, 0.0)
-        self.assertEqual(book.available_tokens(A, OLD_S), 0)
-        book.fold(PEER, {A: AccountClaim()})
-        book.confirm_row()
-        self.assertGreater(book.available_tokens(A, OLD_S), 0)
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({A: TOTAL})
+        budgets.mark_unreadable(PEER)
+        budgets.adopt(None)
+        _write(budgets, 2, 0.0)
+        self.assertEqual(budgets.available_tokens(A, OLD_S), 0)
+        budgets.fold(PEER, {A: AccountClaim()})
+        budgets.confirm_row()
+        self.assertGreater(budgets.available_tokens(A, OLD_S), 0)
 
 
 class ConcentratedSpendTest(unittest.TestCase):
@@ -186,7 +190,7 @@
         """Guards against equal shares whichever entry spends. Callers keep connections,
         so an account's requests come through one entry. In a partition these were
         refused while other entries without callers held most of the total."""
-        idle, busy = _book(), PrepaidBudgets(PEER)
+        idle, busy = _budgets(), PrepaidBudgets(PEER)
         first = _write(idle, 2, 0.0).claimed_tokens
         idle.fold(PEER, {A: AccountClaim(60_000, 50_000, 40_000, 0, 0, 4_000)})
         later = _write(idle, 2, 1.0).claimed_tokens
@@ -206,11 +210,13 @@
         self.assertGreater(left, 9 * 2_000)
 
 
-def _write_as(book: PrepaidBudgets, entry: EntryId, entries: int, now_s: float) -> None:
-    book.plan(entries, now_s)
-    row = book.make_row(now_s)
-    book.fold(entry, row)
-    book.confirm_row()
+def _write_as(
+    budgets: PrepaidBudgets, entry: EntryId, entries: int, now_s: float
+) -> None:
+    budgets.plan(entries, now_s)
+    row = budgets.make_row(now_s)
+    budgets.fold(entry, row)
+    budgets.confirm_row()
 
 
 class UrgentTest(unittest.TestCase):
@@ -219,13 +225,13 @@
         """Guards against last tokens that any request may use. A power loss with little
         of a total left loses all claims; a few of the longest prompts then took the
         free tokens, and less than a quarter of the requests were served."""
-        book = PrepaidBudgets(ME)
-        book.set_totals({A: TOTAL})
-        book.fold(PEER, {A: AccountClaim(98_000, 98_000, 98_000)})
-        book.adopt(None)
-        book.reserve(A, 1_500, 0.0, urgent)
-        _write(book, 2, 0.0)
-        self.assertEqual(book.available_tokens(A, 0.1), left)
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({A: TOTAL})
+        budgets.fold(PEER, {A: AccountClaim(98_000, 98_000, 98_000)})
+        budgets.adopt(None)
+        budgets.reserve(A, 1_500, 0.0, urgent)
+        _write(budgets, 2, 0.0)
+        self.assertEqual(budgets.available_tokens(A, 0.1), left)
 
 
 class MayClaimTest(unittest.TestCase):
@@ -237,19 +243,19 @@
         (99_000, 1_000, True, False),
     )
     def test_can_claim(self, claimed, tokens, urgent, expected):
-        book = PrepaidBudgets(ME)
-        book.set_totals({A: TOTAL})
-        book.fold(PEER, {A: AccountClaim(claimed, claimed, claimed)})
-        self.assertIs(book.can_claim(A, tokens, urgent), expected)
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({A: TOTAL})
+        budgets.fold(PEER, {A: AccountClaim(claimed, claimed, claimed)})
+        self.assertIs(budgets.can_claim(A, tokens, urgent), expected)
 
     @params((0.0, True), (OLD_S, False))
     def test_has_locked_tokens(self, age_s, expected):
-        self.assertIs(_book().has_locked_tokens(A, age_s), expected)
+        self.assertIs(_budgets().has_locked_tokens(A, age_s), expected)
 
 
 class TransferTest(unittest.TestCase):
     def test_a_transfer_moves_tokens_and_never_creates_any(self):
-        sender, receiver = _book(), PrepaidBudgets(PEER)
+        sender, receiver = _budgets(), PrepaidBudgets(PEER)
         receiver.set_totals({A: TOTAL})
         before = sender.available_tokens(A, 0.1)
         moved = sender.transfer_out(A, 500, 0.1)
@@ -261,7 +267,7 @@
         self.assertIsNotNone(receiver.reserve(A, 500, 0.1))
 
     def test_no_more_is_transferred_than_is_available(self):
-        sender = _book()
+        sender = _budgets()
         self.assertLess(sender.transfer_out(A, TOTAL, 0.1), TOTAL)
         self.assertGreaterEqual(sender.available_tokens(A, 0.1), 0)
 
@@ -274,10 +280,10 @@
         (10_000, 99_500, 5_000, False),  # claimed is not used
     )
     def test_only_known_use_exhausts_a_total(self, used, claimed, cost, expected):
-        book = PrepaidBudgets(ME)
-        book.set_totals({A: TOTAL})
-        book.fold(PEER, {A: AccountClaim(claimed, claimed, used)})
-        self.assertIs(book.is_exhausted(A, cost), expected)
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({A: TOTAL})
+        budgets.fold(PEER, {A: AccountClaim(claimed, claimed, used)})
+        self.assertIs(budgets.is_exhausted(A, cost), expected)
 
 
 class AdoptTest(unittest.TestCase):
@@ -288,23 +294,25 @@
         (None, 10_000),
     )
     def test_what_may_have_been_spent_counts_as_spent(self, age_s, expected):
-        book = PrepaidBudgets(ME)
-        book.set_totals({A: 10_050})
-        book.fold(ME, {A: AccountClaim(10_000, 3_000, 1_000, unlock_tokens_per_s=500)})
-        book.adopt(age_s)
-        self.assertLessEqual(book.available_tokens(A, 0.1), 0)
-        book.return_unspent()
-        self.assertEqual(book.make_row(0.1)[A].claimed_tokens, expected)
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({A: 10_050})
+        budgets.fold(
+            ME, {A: AccountClaim(10_000, 3_000, 1_000, unlock_tokens_per_s=500)}
+        )
+        budgets.adopt(age_s)
+        self.assertLessEqual(budgets.available_tokens(A, 0.1), 0)
+        budgets.return_unspent()
+        self.assertEqual(budgets.make_row(0.1)[A].claimed_tokens, expected)
 
     def test_what_cannot_have_been_spent_is_freed(self):
-        book = PrepaidBudgets(ME)
-        book.set_totals({A: 10_050})
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({A: 10_050})
         left = {A: AccountClaim(10_000, 3_000, 1_000, unlock_tokens_per_s=500)}
-        book.fold(ME, left)
-        book.adopt(None)
-        book.free_adopted(left, UNLOCK_DELAY_S + 1.0)
-        book.return_unspent()
-        self.assertEqual(book.make_row(0.1)[A].claimed_tokens, 3_500)
+        budgets.fold(ME, left)
+        budgets.adopt(None)
+        budgets.free_adopted(left, UNLOCK_DELAY_S + 1.0)
+        budgets.return_unspent()
+        self.assertEqual(budgets.make_row(0.1)[A].claimed_tokens, 3_500)
 
 
 class AgeAtStartTest(unittest.TestCase):
--- a/tests/test_prepaid_model.py
+++ b/tests/test_prepaid_model.py
@@ -49,7 +49,7 @@
 
     def boot(self, now_s: float) -> None:
         self.started_s = now_s + self.clock_skew_s
-        self.book = PrepaidBudgets(self.entry)
+        self.budgets = PrepaidBudgets(self.entry)
         self.folded = 0
         self.pending: Member | None = None
         self.landed_at: int | None = None
@@ -89,7 +89,7 @@
     @rule(i=indexes, tokens=st.integers(1, 2_500))
     def reserve(self, i: int, tokens: int) -> None:
         m = self.machines[i]
-        reservation = m.book.reserve(ACCOUNT, tokens, m.clock_s(self.now_s))
+        reservation = m.budgets.reserve(ACCOUNT, tokens, m.clock_s(self.now_s))
         if reservation is not None:
             m.reservations.append(reservation)
 
@@ -99,7 +99,7 @@
         if m.reservations:
             reservation = m.reservations.pop(0)
             used = int(reservation.tokens * part)
-            m.book.commit(reservation, used, m.clock_s(self.now_s))
+            m.budgets.commit(reservation, used, m.clock_s(self.now_s))
             self.used += used
 
     @rule(i=indexes, tokens=st.integers(500, 2_500))
@@ -119,8 +119,8 @@
         if m.pending is not None:
             return
         now_s = m.clock_s(self.now_s)
-        m.book.plan(len(ENTRIES), now_s)
-        row = m.book.make_row(now_s)
+        m.budgets.plan(len(ENTRIES), now_s)
+        row = m.budgets.make_row(now_s)
         m.pending = Member(
             m.entry,
             1,
@@ -145,7 +145,7 @@
         m = self.machines[i]
         if m.landed_at is not None and not m.partitioned:
             self._fold(m)
-            m.book.confirm_row()
+            m.budgets.confirm_row()
             m.pending = m.landed_at = None
 
     @rule(i=indexes)
@@ -159,8 +159,8 @@
         if not m.partitioned:
             newest = {row.entry_id: row for row in self.log}
             for row in newest.values():
-                m.book.fold(row.entry_id, row.shares)
-            m.book.retain_entries(set(newest))
+                m.budgets.fold(row.entry_id, row.shares)
+            m.budgets.retain_entries(set(newest))
             m.folded = len(self.log)
 
     @rule(i=indexes)
@@ -172,9 +172,9 @@
         sender, receiver = self.machines[i], self.machines[j]
         if i == j:
             return
-        moved = sender.book.transfer_out(ACCOUNT, tokens, sender.clock_s(self.now_s))
+        moved = sender.budgets.transfer_out(ACCOUNT, tokens, sender.clock_s(self.now_s))
         if not lost:
-            receiver.book.transfer_in(ACCOUNT, moved)
+            receiver.budgets.transfer_in(ACCOUNT, moved)
 
     @rule(i=indexes, power=st.booleans(), down_s=st.sampled_from([0.5, 1.5, 6.0]))
     def kill(self, i: int, power: bool, down_s: float) -> None:
@@ -195,9 +195,9 @@
     # -- helpers -------------------------------------------------------------
 
     def _fold(self, m: _Machine) -> None:
-        m.book.set_totals({ACCOUNT: self.total})
+        m.budgets.set_totals({ACCOUNT: self.total})
         for row in self.log[m.folded :]:
-            m.book.fold(row.entry_id, row.shares)
+            m.budgets.fold(row.entry_id, row.shares)
         m.folded = len(self.log)
 
     def _adopt_row(self, m: _Machine) -> None:
@@ -210,8 +210,8 @@
         if self.assumes_new:
             age_s = 0.0
         if self.ignores_claim:
-            m.book.fold(m.entry, {ACCOUNT: AccountClaim()})
-        m.book.adopt(age_s)
+            m.budgets.fold(m.entry, {ACCOUNT: AccountClaim()})
+        m.budgets.adopt(age_s)
 
 
 class IgnoringMachine(PrepaidMachine):
