--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -1,4 +1,4 @@
-"""What a request passes before it is sent anywhere, and what is settled after."""
+"""Admission of requests before routing, and settlement of their reservations."""
 
 import time
 
@@ -15,51 +15,54 @@
 from celerytrack.verdict import Reason, Refusal, did_not_run
 
 DEFAULT_DEADLINE_S = 30.0
-"""Deadline of a caller that names none: longer than any route's timeout should be, and
-still an end."""
+"""Deadline of a request that names none: longer than the timeout of any sensible
+route, but finite."""
 ANSWER_MARGIN_S = 0.03
-"""An answer goes out this long before the deadline, so that it arrives: there is the
-way to the caller, and timers fire late on a busy instance."""
-SOON_S = 0.1
-"""When to come back after a refusal that another entry may well not give."""
-SHORTLY_S = 0.5
-"""When to come back while a service has no endpoint: registrations are back
-within two seconds of an outage's end."""
-CUT_LASTS_S = 3.0
-"""When to come back while this entry is cut off from the log and the others
-have no tokens to give: cuts last seconds, and a caller has one more try."""
-TOKENS_RETURN_S = 5.0
-"""When to come back if neither the total nor the other entries have the tokens:
-they return as requests end below their largest cost, or by a top-up."""
+"""How long before the deadline an answer must be sent to arrive in time: covers the
+network latency to the caller and timers that fire late on a busy instance."""
+RETRY_ELSEWHERE_AFTER_S = 0.1
+"""``Retry-After`` of a refusal when another entry may accept the request."""
+NO_ENDPOINT_RETRY_AFTER_S = 0.5
+"""``Retry-After`` while a service has no endpoint: registrations are back within two
+seconds after an outage ends."""
+PARTITION_RETRY_AFTER_S = 3.0
+"""``Retry-After`` while this entry is partitioned from the log and the other entries
+have no tokens to transfer: partitions last seconds, and a caller has one more
+attempt."""
+NO_TOKENS_RETRY_AFTER_S = 5.0
+"""``Retry-After`` if neither the total nor the other entries have the tokens: they
+become available when requests end below their maximum cost, or by a top-up."""
 
 
 async def admit(
     gateway: Gateway, request: web.BaseRequest, started_s: float
 ) -> Exchange:
-    """The checks before anything is reserved.
+    """Validate a request before anything is reserved.
 
-    :raises RefusedError: saying what is wrong with the request.
+    :raises RefusedError: if the request is invalid or cannot be admitted.
     """
     table = gateway.table
-    if table is None or not gateway.endpoints_known or not gateway.suspects.started:
+    if table is None or not gateway.endpoints_known or not gateway.suspects.loaded:
         detail = "no configuration read yet"
-        raise RefusedError(did_not_run(Reason.NO_CONFIG, SHORTLY_S, detail))
+        raise RefusedError(
+            did_not_run(Reason.NO_CONFIG, NO_ENDPOINT_RETRY_AFTER_S, detail)
+        )
     try:
         facts = decode_request(request.headers)
     except RequestError as exc:
         raise RefusedError(did_not_run(Reason.BAD_REQUEST, None, str(exc))) from None
     body = await _read_body(request, table)
-    # What is in force when the whole request is read decides.
+    # The configuration may have changed while the body was read; the newest decides.
     table = gateway.table or table
     route = table.match(facts.host, request.raw_path.split("?", 1)[0])
     if route is None:
-        raise RefusedError(_denied(gateway, Reason.NO_ROUTE, "no such route"))
+        raise RefusedError(_not_configured(gateway, Reason.NO_ROUTE, "no such route"))
     account_id: AccountId | None = None
     priority = route.priority
     if table.needs_key and not route.public:
         account = table.account_by_key(facts.key) if facts.key else None
         if account is None:
-            raise RefusedError(_denied(gateway, Reason.BAD_KEY, "unknown key"))
+            raise RefusedError(_not_configured(gateway, Reason.BAD_KEY, "unknown key"))
         account_id = account.account_id
         priority = route.priority if account.priority is None else account.priority
     deadline_s = facts.deadline_s or DEFAULT_DEADLINE_S
@@ -72,17 +75,20 @@
         account=account_id,
         priority=priority,
         started_s=started_s,
-        ends_s=started_s + min(deadline_s, route.timeout_s) - ANSWER_MARGIN_S,
+        deadline_at_s=started_s + min(deadline_s, route.timeout_s) - ANSWER_MARGIN_S,
     )
 
 
-def _denied(gateway: Gateway, reason: Reason, detail: str) -> Refusal:
-    """The refusal of what the configuration in force here does not have."""
+def _not_configured(gateway: Gateway, reason: Reason, detail: str) -> Refusal:
+    """Return the refusal of a route or key that the configuration does not contain.
+
+    It is final only while the known configuration is recent.
+    """
     now_s = time.monotonic()
     if gateway.may_deny(now_s):
         return did_not_run(reason, None, detail)
     detail = f"{detail}, as of {gateway.config_age_s(now_s):.1f} s ago"
-    return did_not_run(Reason.NO_CONFIG, SOON_S, detail)
+    return did_not_run(Reason.NO_CONFIG, RETRY_ELSEWHERE_AFTER_S, detail)
 
 
 async def _read_body(request: web.BaseRequest, table: RoutingTable) -> bytes:
@@ -99,9 +105,9 @@
 
 
 async def reserve(gateway: Gateway, exchange: Exchange) -> Reservation | None:
-    """Set the request's largest cost aside.
+    """Reserve the maximum cost of a request.
 
-    :raises RefusedError: ``did_not_run``: for good only if the total cannot
+    :raises RefusedError: with ``did_not_run``; final only if the total budget cannot
         cover the request, whatever other entries hold.
     """
     facts, account = exchange.facts, exchange.account
@@ -111,55 +117,65 @@
         return None
     table = gateway.table
     urgent = table is not None and exchange.route.priority <= table.most_urgent
-    held = await gateway.keeper.reservations.reserve(account, tokens, urgent)
-    if held is not None:
-        return held
+    reservation = await gateway.keeper.reservations.reserve(account, tokens, urgent)
+    if reservation is not None:
+        return reservation
     now_s = time.monotonic()
     total_known = gateway.may_deny(now_s)
     raise RefusedError(
-        lacking_tokens(gateway.keeper, account, tokens, total_known, now_s)
+        insufficient_tokens(gateway.keeper, account, tokens, total_known, now_s)
     )
 
 
-def lacking_tokens(
+def insufficient_tokens(
     keeper: ShareKeeper,
     account: AccountId,
     tokens: int,
     total_known: bool,
     now_s: float,
 ) -> Refusal:
-    """The refusal of a request that lacks tokens of ``account`` here.
+    """Return the refusal of a request for which this entry lacks tokens.
 
-    For good only if the total cannot cover it; else it says when to come back.
+    It is final only if the total budget cannot cover the request; otherwise it says
+    when to retry.
 
-    :param tokens: what the request may cost at most.
-    :param total_known: whether the total may not have been raised unheard of.
+    :param tokens: maximum cost of the request.
+    :param total_known: whether the known total is up to date, so that no top-up can
+        have been missed.
     """
     book = keeper.book
     if total_known and book.is_exhausted(account, tokens):
         detail = f"{tokens} tokens do not fit what is left"
         return did_not_run(Reason.BUDGET_EXHAUSTED, None, detail)
     detail = f"{tokens} tokens, {book.available_tokens(account, now_s)} in hand here"
-    after_s = TOKENS_RETURN_S
+    retry_after_s = NO_TOKENS_RETRY_AFTER_S
     if not keeper.reachable:
         free_s = book.free_in_s(account, tokens, now_s)
-        after_s = CUT_LASTS_S if free_s is None else max(free_s, SOON_S)
-    return did_not_run(Reason.TOKENS_ELSEWHERE, after_s, detail)
-
-
-def settle(gateway: Gateway, exchange: Exchange, held: Reservation | None) -> None:
-    """Charge what the request used, or free it all if it did not run."""
-    if held is None:
+        retry_after_s = (
+            PARTITION_RETRY_AFTER_S
+            if free_s is None
+            else max(free_s, RETRY_ELSEWHERE_AFTER_S)
+        )
+    return did_not_run(Reason.TOKENS_ELSEWHERE, retry_after_s, detail)
+
+
+def settle(
+    gateway: Gateway, exchange: Exchange, reservation: Reservation | None
+) -> None:
+    """Charge the tokens used, or free the whole reservation if nothing ran."""
+    if reservation is None:
         return
     book = gateway.keeper.book
     if not exchange.may_have_run:
-        book.release(held)
+        book.release(reservation)
         return
     assert gateway.table is not None
     service = gateway.table.services.get(exchange.service)
-    per_event = service.event_tokens if service else 1
-    # One event more than was relayed: it may have been on its way to the
-    # caller when the stream ended.
-    whole = exchange.response is not None
-    out = (exchange.events.events + (1 if whole else 0)) * per_event
-    book.commit(held, exchange.facts.input_tokens + out, time.monotonic())
+    tokens_per_event = service.event_tokens if service else 1
+    # A stream is charged one event more than was relayed: that event may have been
+    # in transit to the caller when the stream ended.
+    streamed = exchange.response is not None
+    output_tokens = (exchange.events.events + (1 if streamed else 0)) * tokens_per_event
+    book.commit(
+        reservation, exchange.facts.input_tokens + output_tokens, time.monotonic()
+    )
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -15,7 +15,7 @@
 from celerytrack.findings import Ending, Findings
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.gateway.connections import EndpointConnections
-from celerytrack.gateway.ended_endpoints import EndedEndpoint, EndedEndpoints
+from celerytrack.gateway.crash_detector import CrashDetector, CrashedEndpoint
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.hedged_store import HedgedStore
@@ -27,7 +27,7 @@
     PromptNote,
 )
 from celerytrack.gateway.share_keeper import ShareKeeper
-from celerytrack.gateway.suspect_keeper import SuspectKeeper
+from celerytrack.gateway.suspect_sync import SuspectSync
 from celerytrack.gateway.telemetry import Telemetry
 from celerytrack.ids import EndpointId, EntryId, ServiceName
 from celerytrack.planned_stop import PlannedStop
@@ -101,10 +101,10 @@
         self.durations = Durations()
         self._retries: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
-        self.ended_endpoints = EndedEndpoints(
+        self.ended_endpoints = CrashDetector(
             self.endpoints.superseded, self._endpoint_ended
         )
-        self.suspects = SuspectKeeper(
+        self.suspects = SuspectSync(
             self.store,
             self.entry_id,
             self.boot_id,
@@ -129,7 +129,7 @@
             not self.leaving
             and self.table is not None
             and self.endpoints_known
-            and self.suspects.started
+            and self.suspects.loaded
             and self.keeper.started
         )
 
@@ -163,14 +163,14 @@
             self.config_known_at_s = float("-inf")
         self.endpoints.restored()
 
-    def _endpoint_ended(self, ended: EndedEndpoint) -> None:
+    def _endpoint_ended(self, ended: CrashedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
         log_event(
             _log,
             Event.ENDPOINT_ENDED,
             logging.WARNING,
             endpoint=ended.endpoint.endpoint_id,
-            fingerprints=sorted(f.hex() for f in ended.broken),
+            fingerprints=sorted(f.hex() for f in ended.interrupted),
         )
         now_s = time.monotonic()
         registration = ended.endpoint.registration
@@ -178,13 +178,13 @@
         ending = Ending(
             registration.endpoint_id, registration.born_ms, registration.build
         )
-        found = self.suspects.book.witnessed(ending, ended.broken, now_s)
+        found = self.suspects.tracker.witnessed(ending, ended.interrupted, now_s)
         self.suspects.publish(found)
         self._log_shut_out(found)
 
     def _tell_findings(self, findings: Findings) -> None:
         members = self.keeper.members.live(time.monotonic())
-        self.suspects.entries = len(members) + 1
+        self.suspects.entry_count = len(members) + 1
         addresses = [member.peer_address for member in members]
         self.notes.tell_findings(addresses, findings)
 
@@ -192,13 +192,13 @@
         now_s = time.monotonic()
         for evidence in findings.seen:
             self.endpoints.ended(evidence.ending.endpoint_id, now_s)
-        self.suspects.hear(findings)
+        self.suspects.receive(findings)
 
     def _log_shut_out(self, findings: Findings) -> None:
         """Log once who is shut out by what was found."""
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
-            suspect = self.suspects.book.suspect(fingerprint, now_s)
+            suspect = self.suspects.tracker.suspect(fingerprint, now_s)
             if suspect.standing is not Standing.SHUT_OUT:
                 continue
             endings = frozenset(suspect.endings)
@@ -209,7 +209,7 @@
 
     def count_suspects(self) -> None:
         """Have the metrics tell how many requests are under suspicion."""
-        suspects = self.suspects.book.suspects(time.monotonic())
+        suspects = self.suspects.tracker.suspects(time.monotonic())
         counts = collections.Counter(suspect.standing for suspect in suspects)
         for standing in (Standing.WATCHED, Standing.ALONE, Standing.SHUT_OUT):
             self.telemetry.suspects.labels(standing.value).set(counts[standing])
--- /dev/null
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -0,0 +1,244 @@
+"""Replication of suspected poison requests among all entries.
+
+Each finding of this entry is published twice: at once in a note, which may be lost, and
+in this entry's record on the log, which outlives the entry and is read by entries that
+start or reconnect. An entry without findings has no record.
+"""
+
+import asyncio
+import logging
+import time
+from collections.abc import Callable, Sequence
+
+from returns.result import Failure, Success
+
+from celerytrack.eras import EraTracker
+from celerytrack.events import Event, log_event
+from celerytrack.findings import Findings, Trial
+from celerytrack.fingerprint import Fingerprint
+from celerytrack.gateway.hedged_store import Store
+from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S, KeyedTail
+from celerytrack.ids import EntryId
+from celerytrack.platform.log_format import KeyedRecord
+from celerytrack.platform.store import StoreErrorKind, Writer
+from celerytrack.platform.suspect_records import (
+    FindingsError,
+    decode_findings,
+    encode_findings,
+)
+from celerytrack.platform.topics import SUSPECTS_TOPIC
+from celerytrack.routing import rendezvous
+from celerytrack.suspects import SuspectBook
+
+_log = logging.getLogger(__name__)
+
+READ_WAIT_S = 2.0
+"""Longest time the store may hold a read open. A held read returns as soon as a record
+is written, and an unresponsive store is detected within the time in which all entries
+must know of a suspect."""
+READ_PAUSE_S = 0.02
+"""Pause between two reads, so that records written together are read together."""
+PUBLISH_TIMEOUT_S = 0.5
+"""Longest wait until a trial is on the log, where the other entries can read it. A slow
+store answers in less."""
+WRITE_PAUSE_S = 0.1
+"""Shortest time between two records of this entry."""
+WRITE_PAUSE_PER_ENTRY_S = 0.002
+"""Added to ``WRITE_PAUSE_S`` for each entry, so that the total write rate of the fleet
+stays within what the store accepts."""
+
+
+class SuspectSync:
+    """Writes this entry's record of suspects and reads the records of other entries.
+
+    :param boot_id: identifies this run of the process as a writer.
+    :param broadcast: sends a note to the other entries.
+    :param on_change: called after findings of another entry are merged.
+    """
+
+    def __init__(
+        self,
+        store: Store,
+        entry_id: EntryId,
+        boot_id: str,
+        eras: EraTracker,
+        broadcast: Callable[[Findings], None],
+        on_change: Callable[[Findings], None],
+    ) -> None:
+        self.tracker = SuspectBook(entry_id)
+        self.loaded = False
+        self.entry_count = 1
+        self._store = store
+        self._entry_id = entry_id
+        self._name = f"{entry_id}/{boot_id}"
+        self._broadcast = broadcast
+        self._on_change = on_change
+        self._tail = KeyedTail(
+            store, SUSPECTS_TOPIC, self._apply, self._reload, eras=eras
+        )
+        self._logged_value = b""
+        self._sequence = 0
+        self._changes = 0
+        self._written_changes = 0
+        self._log_writable = True
+        self._write_due = asyncio.Event()
+        self._write_done = asyncio.Event()
+
+    async def run(self) -> None:
+        """Load all records, then follow the topic and write changes until cancelled."""
+        await self._tail.load()
+        self.loaded = True
+        async with asyncio.TaskGroup() as tasks:
+            tasks.create_task(self._tail.follow(READ_PAUSE_S, READ_WAIT_S))
+            tasks.create_task(self._write_changes())
+
+    def publish(self, findings: Findings) -> None:
+        """Send findings to the other entries in a note and through the log."""
+        if findings.empty:
+            return
+        self._broadcast(findings)
+        self._schedule_write()
+
+    def receive(self, findings: Findings) -> None:
+        """Merge the findings in a note of another entry."""
+        self.tracker.heard(findings, False, time.monotonic())
+        self._on_change(findings)
+
+    async def begin_probe(self, trial: Trial, others: Sequence[EntryId]) -> bool:
+        """Begin an isolated trial of a request.
+
+        While the log accepts no records, some entries may not learn of the trial. Then
+        only the entry that comes first in rendezvous order among the live ones may run
+        it.
+
+        :param others: the other live entries.
+        :return: whether this entry may run the trial.
+        """
+        findings = self.tracker.claim(trial, time.monotonic())
+        if findings is None:
+            return False
+        self.publish(findings)
+        try:
+            logged = self._log_writable and await self._wait_logged(PUBLISH_TIMEOUT_S)
+        except asyncio.CancelledError:
+            # The caller has disconnected, or the deadline has passed.
+            self.publish(self.tracker.release(trial.fingerprint))
+            raise
+        allowed = logged or self._is_preferred(trial.fingerprint, others)
+        if allowed and self.tracker.holds(trial.fingerprint):
+            return True
+        self.publish(self.tracker.release(trial.fingerprint))
+        return False
+
+    def _is_preferred(
+        self, fingerprint: Fingerprint, others: Sequence[EntryId]
+    ) -> bool:
+        first = rendezvous(fingerprint.hex(), [*others, self._entry_id], 1)
+        return first == [self._entry_id]
+
+    async def _wait_logged(self, timeout_s: float) -> bool:
+        """Wait until all published changes are on the log; whether they are in time."""
+        wanted = self._changes
+        try:
+            async with asyncio.timeout(timeout_s):
+                while self._written_changes < wanted:
+                    await self._write_done.wait()
+        except TimeoutError:
+            return False
+        return True
+
+    # -- writing ----------------------------------------------------------------
+
+    def _schedule_write(self) -> None:
+        self._changes += 1
+        self._write_due.set()
+
+    async def _write_changes(self) -> None:
+        while True:
+            await self._write_due.wait()
+            self._write_due.clear()
+            changes = self._changes
+            value = self._encode_record()
+            if value != self._logged_value:
+                await self._append(value)
+            self._written_changes = changes
+            self._write_done.set()
+            self._write_done = asyncio.Event()
+            await asyncio.sleep(
+                WRITE_PAUSE_S + self.entry_count * WRITE_PAUSE_PER_ENTRY_S
+            )
+
+    def _encode_record(self) -> bytes:
+        record = self.tracker.record(time.monotonic(), time.time())
+        return b"" if record.empty else encode_findings(record)
+
+    async def _append(self, value: bytes) -> None:
+        """Append ``value`` as this entry's record, retrying until the store answers."""
+        pause_s = RETRY_S
+        while True:
+            # A retry repeats the same bytes: the store answers a repeated sequence
+            # number as it answered the first append, whatever the bytes are.
+            writer = Writer(self._name, 1, self._sequence)
+            match await self._store.append(
+                SUSPECTS_TOPIC, self._entry_id, value, writer
+            ):
+                case Success(_):
+                    self._sequence += 1
+                    self._logged_value = value
+                    self._log_writable = True
+                    return
+                case Failure(error):
+                    self._log_write_failure(error.kind, error.detail)
+                    if error.kind is StoreErrorKind.OUT_OF_SEQUENCE:
+                        expected = error.expected
+                        following = self._sequence + 1
+                        self._sequence = following if expected is None else expected
+            await asyncio.sleep(pause_s)
+            pause_s = min(2 * pause_s, RETRY_MAX_S)
+
+    def _log_write_failure(self, kind: StoreErrorKind, detail: str) -> None:
+        self._log_writable = False
+        log_event(
+            _log,
+            Event.SUSPECTS_NOT_WRITTEN,
+            logging.WARNING,
+            kind=kind.value,
+            detail=detail,
+        )
+
+    # -- reading -----------------------------------------------------------------
+
+    def _apply(self, record: KeyedRecord) -> None:
+        is_own = record.key == self._entry_id
+        value = record.value or b""
+        if is_own and self.loaded:
+            self._check_own_record(value)
+            return
+        entry_id = EntryId(record.key)
+        try:
+            findings = decode_findings(value) if value else Findings(entry_id)
+        except FindingsError as exc:
+            detail = f"record of {record.key}: {exc}"
+            log_event(_log, Event.NOTE_REJECTED, logging.ERROR, detail=detail)
+            return
+        now_s = time.monotonic()
+        if is_own:
+            self._logged_value = value
+            self.tracker.adopt(findings, now_s)
+        else:
+            self.tracker.heard(findings, True, now_s)
+        self._on_change(findings)
+
+    def _check_own_record(self, value: bytes) -> None:
+        """Write this entry's record again if the log holds another version of it.
+
+        This happens when an earlier append takes effect late, or when the log was
+        restored from an older copy.
+        """
+        if value != self._logged_value:
+            self._logged_value = value
+            self._schedule_write()
+
+    def _reload(self, keys: set[str]) -> None:
+        if self.loaded and self._logged_value and self._entry_id not in keys:
+            self._check_own_record(b"")
