--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -1,10 +1,10 @@
-"""The task that keeps this entry's row on the log and its prepaid shares.
+"""The task that publishes this entry's row and follows those of all entries.
 
-It owns the topic of the entries' rows: it folds all rows into the
+It folds each row of the entries topic into the
 :class:`~celerytrack.prepaid.PrepaidBook` and the
-:class:`~celerytrack.members.MemberView`, and writes this entry's row, one
-append at a time, numbered, so that an append that lands late or twice is
-recognised by the store and never overwrites a later one.
+:class:`~celerytrack.members.MemberView`, and appends this entry's row, one append at
+a time. Appends are numbered: the store recognises one that arrives late or twice, so
+it never overwrites a later row.
 """
 
 import asyncio
@@ -41,23 +41,24 @@
 _log = logging.getLogger(__name__)
 
 ROW_TIME_GAIN = 0.3
-"""Weight of the newest row in how long rows take: a store that turns slow is known
-after three."""
+"""Weight of the newest row in the average row time: a store that becomes slow shows
+after three rows."""
 MOST_ASKED = 20
-"""Entries asked at most: each that was alive as the log came back knows the row."""
+"""Most entries asked for this entry's row: each that was alive when the log was
+restored knows it."""
 LEAST_WAIT_S = 0.001
-"""Shortest wait for the next row that is due: what is left of an interval may be less
-than a clock tells apart."""
+"""Shortest wait for the next due row: the rest of an interval may be below the
+resolution of the clock."""
 
 
 class ShareKeeper:
-    """Owns the entries' rows.
+    """Publishes this entry's row and folds those of all entries.
 
-    :param entry_id: the row's key, distinct for every instance.
-    :param gifts: asks other entries for tokens.
-    :param started_s: when this process began, on the steady clock.
-    :param link_mbps: what the instance's link carries; 0 if it is not told.
-    :param eras: the era of the log.
+    :param entry_id: key of the row; it differs from instance to instance.
+    :param gifts: client for requests to other entries.
+    :param started_s: start of this process on the monotonic clock.
+    :param link_mbps: capacity of the instance's link; 0 if unknown.
+    :param eras: tracks the era of the log.
     """
 
     def __init__(
@@ -85,15 +86,19 @@
         self._started_s = started_s
         self._zone = zone
         self._eras = EraWatch() if eras is None else eras
-        self._eras.on_change(self._era_changed)
-        self._eras_handled = 0
-        self._later_start_seen = False
-        self._writer = RowWriter(store, entry_id, self._contact, self._eras)
-        self._sent_s: float | None = None
-        self._last_row = LastRow(started_s)
+        self._eras.on_change(self._on_era_change)
+        self._handled_era_changes = 0
+        self._superseded = False
+        self._writer = RowWriter(store, entry_id, self._on_append_result, self._eras)
+        self._append_started_s: float | None = None
+        self._previous_row = LastRow(started_s)
         self._row_due = False
         self._tail = KeyedTail(
-            store, ENTRIES_TOPIC, self._apply, self._reload, eras=self._eras
+            store,
+            ENTRIES_TOPIC,
+            self._apply_record,
+            self._drop_missing,
+            eras=self._eras,
         )
         self._wake = asyncio.Event()
         self._rows_made = 0
@@ -103,7 +108,7 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the last read of the rows was answered."""
+        """Whether the store answered the last read of the rows."""
         return self._tail.reachable
 
     # -- what reservations need ---------------------------------------------
@@ -111,32 +116,34 @@
     def prompt(self, now_s: float) -> bool:
         """Whether a row made now would soon be on the log.
 
-        A store that has just gone silent is found out only when the call runs
-        into its timeout: every request until then would wait for nothing.
+        A store that has just stopped answering is detected only when the call times
+        out: every request until then would wait in vain.
         """
-        pending_s = 0.0 if self._sent_s is None else now_s - self._sent_s
+        pending_s = (
+            0.0 if self._append_started_s is None else now_s - self._append_started_s
+        )
         return self._tail.reachable and pending_s < self.soon_s
 
     @property
     def soon_s(self) -> float:
-        """How long a row may be on its way and still be worth waiting for: a store
-        that is slow, and not away, brings it in twice its usual time."""
+        """Longest time that a request waits for a row in flight. A store that is slow
+        but available completes the append within twice its usual time."""
         return max(SLOW_APPEND_S, 2 * self.book.row_time_s)
 
     async def next_row(self, timeout_s: float) -> None:
-        """Have a row written soon, and wait for it for ``timeout_s``."""
+        """Request an early row and wait up to ``timeout_s`` until it is folded."""
         self._wake.set()
         await wait_for(self._changed, timeout_s)
 
     # -- the task ----------------------------------------------------------
 
     async def run(self) -> None:
-        """Take the row over, then keep it up to date for ever."""
+        """Take over the row, then update it until cancelled."""
         await self._take_over()
         written_s = float("-inf")
         while True:
-            if self._restored:
-                await self._fence_again()
+            if self._needs_refencing:
+                await self._refence()
                 self._row_due = True
             now_s = time.monotonic()
             division = self.members.division(now_s)
@@ -151,18 +158,18 @@
                 await asyncio.sleep(self._pace.pause_s(entries, written_s))
             self._wake.clear()
             left_s = written_s + interval_s - time.monotonic()
-            if self._row_due or self._restored:
+            if self._row_due or self._needs_refencing:
                 left_s = 0.0
             await wait_for(self._wake, max(LEAST_WAIT_S, left_s))
 
     def leave(self) -> None:
-        """Publish at once that this entry takes no new callers."""
+        """Publish at once that this entry accepts no new clients."""
         self.state = MemberState.LEAVING
         self._row_due = True
         self._wake.set()
 
     async def publish_last(self, ends_s: float) -> None:
-        """Publish what is left unspent, and wait for that row until ``ends_s``."""
+        """Return unspent tokens, and wait until ``ends_s`` for the row that says so."""
         self.book.return_unspent()
         self.leave()
         made = self._rows_made
@@ -173,18 +180,18 @@
             await wait_for(self._changed, left_s)
 
     async def _take_over(self) -> None:
-        # Fence first, then read: an append of the earlier start that is
-        # still on its way would otherwise land after the row was read.
-        self._eras_handled = self._eras.changes
+        # Fence before reading: an append of the previous incarnation that is still in
+        # flight could otherwise arrive after its row was read.
+        self._handled_era_changes = self._eras.changes
         await self._tail.load()
         await self._writer.fence()
         while not await self._tail.poll():
             await asyncio.sleep(RETRY_S)
         last = self.members.member(self._entry_id)
-        await self._recall(last)
-        age_s = self._last_row.age_s(last, self._eras.known)
+        await self._recover_own_row(last)
+        age_s = self._previous_row.age_s(last, self._eras.known)
         self.book.adopt(age_s)
-        self._learn_of_restore()
+        self._detect_earlier_restore()
         self.started = True
         log_event(
             _log,
@@ -197,9 +204,9 @@
             clock_moved_s=clock_offset_s() - last.clock_offset_s if last else None,
         )
 
-    async def _recall(self, last: Member | None) -> None:
-        """Ask the others what they know of this entry's row, if the log may have lost
-        the newest: what the start before had claimed by it may be spent."""
+    async def _recover_own_row(self, last: Member | None) -> None:
+        """Ask other entries for this entry's row if the log may have lost the newest
+        one: what the previous incarnation claimed in it may be spent."""
         era = self._eras.known
         if era is None or (last is not None and last.era in (None, era)):
             return
@@ -209,20 +216,20 @@
             self.book.recall(row)
 
     def _plan(self, parts: float, now_s: float) -> bool:
-        held = self.book.guard.holding
+        was_holding = self.book.guard.holding
         urgent = self.book.plan(parts, now_s)
-        if held and not self.book.guard.holding:
+        if was_holding and not self.book.guard.holding:
             log_hold_over(self.book.guard, self._eras.known)
         return urgent
 
     async def _write_row(self) -> None:
         try:
-            await self._write()
+            await self._append_row()
         except RestoredError:
-            # It may be lost with the copy: the next one is made in the new era.
-            self._sent_s = None
+            # The restored log may lack the row: the next one is made in the new era.
+            self._append_started_s = None
 
-    async def _write(self) -> None:
+    async def _append_row(self) -> None:
         now_s = time.monotonic()
         self._rows_made += 1
         offset_s = clock_offset_s()
@@ -236,17 +243,17 @@
             made_s=now_s,
             clock_offset_s=offset_s,
             started_s=self._started_s,
-            left_at_s=self._last_row.left_at_s,
+            left_at_s=self._previous_row.left_at_s,
             clock_lead_s=self.members.clock_lead_s(offset_s),
             link_mbps=self.members.link_mbps,
             era=self._eras.known,
             shares=self.book.next_row(now_s),
         )
-        self._sent_s = now_s
+        self._append_started_s = now_s
         changes = self._eras.changes
         offset = await self._writer.append(encode_member(member))
         if self._tail.next_offset == offset and self._tail.of_known_era:
-            # Nobody wrote in between: no need to read our own row back.
+            # No other entry wrote in between: the row need not be read back.
             self._fold(member)
             self._tail.next_offset = offset + 1
         pause_s = RETRY_S
@@ -256,24 +263,24 @@
                 pause_s = min(2 * pause_s, RETRY_MAX_S)
             if changes != self._eras.changes:
                 raise RestoredError
-        self._sent_s = None
-        self._learn_row_time(time.monotonic() - now_s)
+        self._append_started_s = None
+        self._update_row_time(time.monotonic() - now_s)
         self.members.read_ok(time.monotonic())
         self.book.row_folded()
         self._rows_folded = self._rows_made
-        self._last_row.reconsider(member, self.members, self.book)
-        self._notify()
+        self._previous_row.reconsider(member, self.members, self.book)
+        self._notify_waiters()
 
-    def _learn_row_time(self, took_s: float) -> None:
-        # A row that was sent again through an outage tells nothing of the next.
+    def _update_row_time(self, took_s: float) -> None:
+        # A row that was retried during an outage says nothing about the next one.
         took_s = min(took_s, WAIT_TOKENS_S)
         known_s = self.book.row_time_s
         self.book.row_time_s = known_s + ROW_TIME_GAIN * (took_s - known_s)
 
-    # -- a log that came back from a copy -------------------------------------
+    # -- a restored log ---------------------------------------------------
 
-    def _era_changed(self, change: EraChange) -> None:
-        """Hold at once: what other tasks read next is of the copy."""
+    def _on_era_change(self, change: EraChange) -> None:
+        """Hold claims at once: what other tasks read next is from the snapshot."""
         alive = self.members.lately_written()
         if not self.started:
             alive = set(self._rows_of_other_eras())
@@ -283,25 +290,27 @@
         self._wake.set()
 
     @property
-    def _restored(self) -> bool:
-        """Whether the log came back from a copy since this entry's row was fenced."""
-        return self._eras_handled != self._eras.changes
+    def _needs_refencing(self) -> bool:
+        """Whether the log was restored since this entry's row was fenced."""
+        return self._handled_era_changes != self._eras.changes
 
-    async def _fence_again(self) -> None:
-        self._eras_handled = self._eras.changes
+    async def _refence(self) -> None:
+        self._handled_era_changes = self._eras.changes
         try:
             await self._writer.fence_again()
         except FencedError:
-            # A copy may hold higher epochs of earlier starts, from before the log came
-            # back another time. A later start has a row there.
+            # A snapshot may hold higher epochs of earlier incarnations, from before an
+            # earlier restore. A later incarnation, if there is one, has a row on the
+            # log.
             while not await self._tail.poll():
                 await asyncio.sleep(RETRY_S)
-            if self._later_start_seen:
+            if self._superseded:
                 raise
             await self._writer.fence()
 
-    def _learn_of_restore(self) -> None:
-        """At a start, rows of an earlier era tell that the log may just be back."""
+    def _detect_earlier_restore(self) -> None:
+        """Rows of an earlier era, read at startup, show that the log may just have
+        been restored."""
         others = self._rows_of_other_eras()
         if others:
             self._eras.learn(max(others.values()), time.monotonic())
@@ -311,7 +320,7 @@
 
     # -- the fold ----------------------------------------------------------
 
-    def _apply(self, record: KeyedRecord) -> None:
+    def _apply_record(self, record: KeyedRecord) -> None:
         if record.value is None:
             self.members.dropped(EntryId(record.key))
             self.book.fold(EntryId(record.key), {})
@@ -326,24 +335,24 @@
         self.members.fold(member, time.monotonic())
         self.book.fold(member.entry_id, member.shares, member.era)
         if member.entry_id == self._entry_id:
-            self._note_own(member)
+            self._observe_own_row(member)
 
-    def _note_own(self, member: Member) -> None:
+    def _observe_own_row(self, member: Member) -> None:
         if not self.started:
             self._writer.epoch = max(self._writer.epoch, member.epoch)
         elif member.started_s != self._started_s:
             started_at_s = self._started_s + clock_offset_s()
-            self._later_start_seen |= member.started_at_s > started_at_s
+            self._superseded |= member.started_at_s > started_at_s
 
-    def _reload(self, keys: set[str]) -> None:
+    def _drop_missing(self, keys: set[str]) -> None:
         self.book.keep_only({EntryId(key) for key in keys})
 
-    def _contact(self, answered: bool) -> None:
+    def _on_append_result(self, answered: bool) -> None:
         self._tail.reachable = answered
         if not answered:
-            # Requests that wait for a row are better served elsewhere.
-            self._notify()
+            # Requests that wait for a row are better served by another entry.
+            self._notify_waiters()
 
-    def _notify(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
