--- a/src/celerytrack/gateway/gifts.py
+++ b/src/celerytrack/gateway/gifts.py
@@ -1,5 +1,8 @@
-"""What entries ask of each other: tokens, for when the log cannot be reached, and the
-row that they know of the one that asks, for when the log has lost it."""
+"""Requests between entries.
+
+An entry asks others for tokens when the log is unreachable, and for the row they know
+of it when the log has lost that row.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable, Mapping
@@ -24,12 +27,12 @@
 _log = logging.getLogger(__name__)
 
 ASK_TIMEOUT_S = 0.15
-"""Longest wait for a gift. Entries are milliseconds apart, but an instance that has
-used up its share of a processor stands still for a tenth of a second; a gift that it
-sends after the wait ended is spent by nobody."""
+"""Time limit for a request to another entry. Entries are milliseconds apart, but an
+instance that exceeds its CPU quota is throttled for a tenth of a second. Tokens
+that it transfers after the limit are lost: no entry can spend them."""
 IDLE_S = 10.0
-"""Idle time after which a connection to another entry is not used again."""
-_PATH = "/gift"
+"""Idle time after which a connection to another entry is not reused."""
+_TRANSFER_PATH = "/gift"
 _ROW_PATH = "/row"
 
 
@@ -39,7 +42,7 @@
 
 @attrs.frozen
 class GiftRequest:
-    """Another entry lacks ``tokens`` of ``account``."""
+    """Body of a request for ``tokens`` of ``account``."""
 
     account: str
     tokens: int = attrs.field(validator=_TOKENS)
@@ -47,52 +50,52 @@
 
 @attrs.frozen
 class Gift:
-    """What another entry gave."""
+    """Body of the answer: how many tokens the other entry transferred."""
 
     tokens: int = attrs.field(validator=_TOKENS)
 
 
 def decode_gift_request(raw: bytes) -> GiftRequest:
-    """What another entry asks for.
+    """Decode a request for tokens.
 
     :raises UnreadableError: naming what is wrong.
     """
-    asked: GiftRequest = structure(_converter, parse_json(raw), GiftRequest)
-    return asked
+    request: GiftRequest = structure(_converter, parse_json(raw), GiftRequest)
+    return request
 
 
 def decode_gift(raw: bytes) -> Gift:
-    """What another entry gave.
+    """Decode the answer to a request for tokens.
 
     :raises UnreadableError: naming what is wrong.
     """
-    gift: Gift = structure(_converter, parse_json(raw), Gift)
-    return gift
+    reply: Gift = structure(_converter, parse_json(raw), Gift)
+    return reply
 
 
 class GiftClient:
-    """Asks other entries for tokens."""
+    """HTTP client for requests to other entries."""
 
     def __init__(self) -> None:
-        self._http: aiohttp.ClientSession | None = None
+        self._client_session: aiohttp.ClientSession | None = None
 
     @property
     def _session(self) -> aiohttp.ClientSession:
-        if self._http is None:
+        if self._client_session is None:
             timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
-            self._http = patient_session(IDLE_S, timeout)
-        return self._http
+            self._client_session = patient_session(IDLE_S, timeout)
+        return self._client_session
 
     async def ask(self, address: str, account: AccountId, tokens: int) -> int:
-        """Ask the entry at ``address`` for ``tokens``; how many it gave.
+        """Request ``tokens`` from the entry at ``address``; returns how many it
+        transferred.
 
-        A gift whose answer is lost is spent by nobody: the giver counts it
-        as gone.
+        If the answer is lost, so are the tokens: the sender has deducted them.
         """
         body = {"account": account, "tokens": tokens}
         try:
             async with self._session.post(
-                f"http://{address}{_PATH}", json=body
+                f"http://{address}{_TRANSFER_PATH}", json=body
             ) as response:
                 if response.status != 200:
                     return 0
@@ -103,12 +106,12 @@
             log_event(_log, Event.GIFT_FAILED, address=address, detail=detail)
             return 0
 
-    async def ask_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
-        """What the entry at ``address`` knows of the row of ``me``; nothing if it does
-        not answer."""
+    async def ask_row(self, address: str, entry_id: EntryId) -> Mapping[AccountId, Row]:
+        """Fetch the row of ``entry_id`` as the entry at ``address`` knows it; empty if
+        that one does not answer."""
         try:
             async with self._session.get(
-                f"http://{address}{_ROW_PATH}", params={"entry": me}
+                f"http://{address}{_ROW_PATH}", params={"entry": entry_id}
             ) as response:
                 if response.status != 200:
                     return {}
@@ -120,8 +123,8 @@
 
     async def close(self) -> None:
         """Close the connections."""
-        if self._http is not None:
-            await self._http.close()
+        if self._client_session is not None:
+            await self._client_session.close()
 
 
 Give = Callable[[AccountId, int], Awaitable[int]]
@@ -129,9 +132,9 @@
 
 
 def answer_row(known: Known, request: web.BaseRequest) -> web.Response:
-    """Answer another entry that asks what is known of its row.
+    """Answer another entry that queries its own row.
 
-    :param known: gives the row known of an entry.
+    :param known: looks up the row known of an entry.
     """
     row = known(EntryId(request.query.get("entry", "")))
     return web.Response(body=encode_shares(row))
@@ -140,18 +143,18 @@
 async def answer_peer(
     give: Give, known: Known, request: web.BaseRequest
 ) -> web.Response:
-    """Answer another entry."""
+    """Route a request of another entry to its handler."""
     if request.path == _ROW_PATH and request.method == "GET":
         return answer_row(known, request)
     return await answer_gift(give, request)
 
 
 async def answer_gift(give: Give, request: web.BaseRequest) -> web.Response:
-    """Answer another entry that asks for tokens.
+    """Answer another entry that requests tokens.
 
-    :param give: takes the account and the tokens asked for; what is given.
+    :param give: transfers up to the requested tokens of an account; returns how many.
     """
-    if request.path != _PATH or request.method != "POST":
+    if request.path != _TRANSFER_PATH or request.method != "POST":
         return web.Response(status=404)
     try:
         asked = decode_gift_request(await request.read())
