--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -1,4 +1,4 @@
-"""The row that this entry's earlier start left, and what of it counts as spent."""
+"""The last row of this entry's previous incarnation, and its age."""
 
 import logging
 import time
@@ -16,27 +16,30 @@
 _log = logging.getLogger(__name__)
 
 RECONSIDER_S = 8.0
-"""How long after its start an entry looks for others that lost power with it:
-they start within a second of each other, and write a row a second later."""
+"""How long after startup an entry looks for others that lost power together with it:
+they start within a second of each other and write a row a second later."""
 
 
 class LastRow:
-    """Tells how old the last row of the earlier start was when that start had ended.
+    """Estimates how old the last row of the previous incarnation was when that
+    incarnation had certainly ended.
 
-    :param started_s: when this start began, on the steady clock.
-    :ivar left_at_s: when that row was made, by that start's time of day.
+    The part of its claim that cannot have been spent at that age is freed.
+
+    :param started_s: start of this process on the monotonic clock.
+    :ivar left_at_s: when that row was made, by the wall clock of its incarnation.
     """
 
     def __init__(self, started_s: float) -> None:
         self.left_at_s: float | None = None
         self._started_s = started_s
-        self._doubtful: Member | None = None
+        self._undated_row: Member | None = None
 
     def age_s(self, last: Member | None, era: Era | None) -> float | None:
-        """How old ``last`` was; ``None`` if there is none or nobody can tell.
+        """Age of ``last``; ``None`` if there is no row or its age is unknown.
 
-        :param era: the era of the log now. Rows that came after one of an older era
-            may be lost with the copy that the log came back from.
+        :param era: current era of the log. If the row is of an older era, a restore
+            may have lost rows that followed it.
         """
         if last is None:
             return None
@@ -44,26 +47,31 @@
         if None not in (last.era, era) and last.era != era:
             return None
         age_s = age_at_start_s(last, self._started_s, clock_offset_s())
-        self._doubtful = last if age_s is None else None
+        self._undated_row = last if age_s is None else None
         return age_s
 
-    def reconsider(self, mine: Member, members: MemberView, book: PrepaidBook) -> None:
-        """See how old the last row was, by those that lost power too or by those
-        that did not, so that the rest of the claim adopted as spent is free.
+    def reconsider(
+        self, own_row: Member, members: MemberView, book: PrepaidBook
+    ) -> None:
+        """Determine an age that is still unknown and free what the adopted claim
+        cannot have spent.
+
+        The age follows from entries that lost power as well, or else from those that
+        did not.
 
-        :param mine: this start's newest row.
+        :param own_row: newest row of this incarnation.
         """
-        left = self._doubtful
-        if left is None:
+        previous = self._undated_row
+        if previous is None:
             return
         rows = members.members()
         others = [row for entry, row in rows.items() if entry != members.me]
-        age_s = age_at_power_s(left, mine, others)
+        age_s = age_at_power_s(previous, own_row, others)
         if age_s is None:
             lead_s = members.prompt_clock_lead_s(clock_offset_s())
-            age_s = age_beside_others_s(left, mine, lead_s)
+            age_s = age_beside_others_s(previous, own_row, lead_s)
         if age_s is not None:
-            book.free_beyond(left.shares, age_s)
+            book.free_beyond(previous.shares, age_s)
             log_event(
                 _log,
                 Event.SHARES_FREED,
@@ -73,9 +81,9 @@
             )
         elif time.monotonic() - self._started_s < RECONSIDER_S:
             return
-        self._doubtful = None
+        self._undated_row = None
 
 
 def clock_offset_s() -> float:
-    """This instance's time of day less its steady clock."""
+    """Wall clock minus monotonic clock of this instance."""
     return time.time() - time.monotonic()
