--- a/src/celerytrack/gateway/row_writer.py
+++ b/src/celerytrack/gateway/row_writer.py
@@ -1,4 +1,4 @@
-"""Numbered appends of this entry's row, so that none counts twice or late."""
+"""Numbered appends of this entry's row; the store rejects duplicates and late ones."""
 
 import asyncio
 import logging
@@ -18,22 +18,22 @@
 
 
 class FencedError(Exception):
-    """A later start of this entry writes its row: this process must end."""
+    """A later incarnation of this entry writes its row: this process must exit."""
 
 
 class RestoredError(Exception):
-    """The log came back from an older copy: what was written may be lost."""
+    """The log was restored from an older snapshot: what was written may be lost."""
 
 
 class RowWriter:
     """Appends this entry's row, one at a time.
 
-    An append without an answer may land seconds later. Its number lets the
-    store recognise a repeat, and refuse one that lands after a later row.
+    An unanswered append may arrive at the store seconds later. By its number the store
+    recognises a repeat, and refuses one that arrives after a later row.
 
-    :param on_contact: told after each try whether the store took it.
-    :param eras: the era of the log.
-    :ivar epoch: grows with each start of the entry.
+    :param on_contact: called after each attempt with whether the store accepted it.
+    :param eras: tracks the era of the log.
+    :ivar epoch: fencing token; grows with each incarnation of the entry.
     """
 
     def __init__(
@@ -51,17 +51,17 @@
         self._sequence = 0
 
     async def fence(self) -> None:
-        """Refuse appends of earlier starts from now on."""
-        await self._fence(self._pass_earlier_start)
+        """Fence off appends of earlier incarnations."""
+        await self._fence(self._raise_epoch)
 
     async def fence_again(self) -> None:
-        """Refuse what was sent before the log came back, which may still be on its way.
+        """Fence off appends sent before the log was restored; they may be in flight.
 
-        The log may have lost that this start fenced off the ones before.
+        The restored log may lack the fence that this incarnation set before.
 
-        :raises FencedError: if a later start of this entry writes.
+        :raises FencedError: if a later incarnation of this entry writes.
         """
-        await self._fence(_give_way)
+        await self._fence(_raise_fenced)
 
     async def _fence(self, on_fenced: Callable[[str], None]) -> None:
         self.epoch += 1
@@ -73,28 +73,28 @@
                 case Failure(error) if error.kind is StoreErrorKind.FENCED:
                     on_fenced(error.detail)
                 case Failure(error):
-                    self._failed(error.kind, error.detail)
+                    self._report_failure(error.kind, error.detail)
                     await asyncio.sleep(RETRY_S)
-        # Made twice, the call may land once more behind rows, and numbers begin anew:
-        # rows that repeat a number would be taken for those before them. Theirs is a
-        # higher epoch, which fences the call off too.
+        # A duplicate of the call may arrive after the first rows and reset the
+        # sequence: rows that reuse a number would be taken for repeats. So rows have a
+        # higher epoch, which fences off the duplicate too.
         self.epoch += 1
         self._sequence = 0
 
-    def _pass_earlier_start(self, _: str) -> None:
+    def _raise_epoch(self, _: str) -> None:
         self.epoch += 1
 
     async def append(self, value: bytes) -> int:
-        """Append one row; its offset.
+        """Append one row; returns its offset.
 
-        :raises FencedError: if a later start of this entry writes.
-        :raises RestoredError: if the log came back from a copy meanwhile.
+        :raises FencedError: if a later incarnation of this entry writes.
+        :raises RestoredError: if the log was restored meanwhile.
         """
         pause_s = RETRY_S
         changes = self._eras.changes
         while True:
-            # The number moves on only once the store has answered: a repeat
-            # is recognised by it, and one that lands late is refused.
+            # The number advances only when the store has answered: by it the store
+            # recognises a repeat and refuses an append that arrives late.
             writer = Writer(self._entry_id, self.epoch, self._sequence)
             result = await self._store.append(
                 ENTRIES_TOPIC, self._entry_id, value, writer
@@ -109,13 +109,13 @@
                 case Failure(error) if error.kind is StoreErrorKind.FENCED:
                     raise FencedError(error.detail)
                 case Failure(error):
-                    self._failed(error.kind, error.detail)
+                    self._report_failure(error.kind, error.detail)
                     if error.kind is StoreErrorKind.OUT_OF_SEQUENCE:
-                        self._sequence = self._next(error.expected)
+                        self._sequence = self._sequence_after(error.expected)
             await asyncio.sleep(pause_s)
             pause_s = min(2 * pause_s, RETRY_MAX_S)
 
-    def _failed(self, kind: StoreErrorKind, detail: str) -> None:
+    def _report_failure(self, kind: StoreErrorKind, detail: str) -> None:
         log_event(
             _log,
             Event.ROW_NOT_WRITTEN,
@@ -126,9 +126,9 @@
         )
         self._on_contact(False)
 
-    def _next(self, expected: int | None) -> int:
+    def _sequence_after(self, expected: int | None) -> int:
         return self._sequence + 1 if expected is None else expected
 
 
-def _give_way(detail: str) -> None:
+def _raise_fenced(detail: str) -> None:
     raise FencedError(detail)
