--- a/src/celerytrack/gateway/tail.py
+++ b/src/celerytrack/gateway/tail.py
@@ -1,4 +1,4 @@
-"""Keeping up with one keyed topic of the platform's store."""
+"""Tails one keyed topic of the platform's store."""
 
 import asyncio
 import logging
@@ -16,36 +16,36 @@
 _log = logging.getLogger(__name__)
 
 RETRY_S = 0.2
-"""Pause after a failed call: a store that is back is found within it."""
+"""Pause after a failed call: bounds how late a store that recovered is noticed."""
 RETRY_MAX_S = 0.3
-"""Longest pause between two tries, while the store stays away: two outages may
-be half a second apart, and a row written between them keeps its claim locked."""
+"""Longest pause between two attempts while the store is unreachable: two outages may be
+half a second apart, and a claim stays locked unless a row is written between them."""
 NEWEST_COST = 4 / 3
-"""What a record costs among the newest of each key, against the same in a read: there
-it is encoded in base64."""
+"""Cost of a record in a query for the newest of each key, relative to its cost in a
+read: the query encodes it in base64."""
 
 
 class KeyedTail:
-    """Keeps up with one keyed topic: knows the newest record of each key.
-
-    Records that are superseded by the time they can be read are skipped. Read one by
-    one, a topic that is written faster than the link carries it comes ever later, as
-    large configurations in quick succession do on a narrow link.
-
-    An offset is one of an era: when the log comes back from a copy, the newest of each
-    key is read anew. Going on from an offset of before, the tail would miss what the
-    copy has been given below it, and nothing would tell.
-
-    :param apply: takes each record that is read, in the order of the log.
-    :param reload: told the keys that exist, after some of the log was not read; what
-        is not among them was dropped meanwhile.
-    :param caught_up: told up to when all that was written is known, on the steady
-        clock, each time that is so.
-    :param contact: told when the store is lost and regained.
-    :param only_key: the key of the only records that count, if there is one; of a
-        backlog the last record is read alone.
-    :param eras: the newest era that any answer of the store told; without it, only
-        the answers to this tail count.
+    """Follows one keyed topic, so that the newest record of each key is known.
+
+    Records that are superseded before they can be read are skipped. Read one by one,
+    a topic that is written faster than the link carries it would lag further and
+    further behind, as large configurations in quick succession do on a narrow link.
+
+    An offset is valid in one era only: when the log is restored from a snapshot, the
+    newest record of each key is read anew. If the tail continued from its old offset,
+    it would silently miss what was appended below that offset after the restore.
+
+    :param apply: called with each record read, in the order of the log.
+    :param reload: called with the existing keys after a part of the log was skipped;
+        any other key was dropped meanwhile.
+    :param caught_up: called each time the tail has caught up, with the time on the
+        monotonic clock before which everything written is known.
+    :param contact: called when the store becomes unreachable or reachable again.
+    :param only_key: the only key whose records matter, if there is one; of a backlog
+        only the last record is read.
+    :param eras: tracks the newest era in any answer of the store; without it, only
+        answers to this tail count.
     """
 
     def __init__(
@@ -69,17 +69,17 @@
         self._on_contact = contact
         self._keys: set[str] = set()
         self._end = 0
-        self._end_is_old = False
+        self._end_is_stale = False
         self._eras = eras
         self._only_key = only_key
         self._era: Era | None = None
 
     async def poll(self, wait_s: float = 0.0) -> bool:
-        """Read what is new once; whether the store answered.
+        """Read new records once; returns whether the store answered.
 
-        :param wait_s: how long the store may hold the call.
+        :param wait_s: how long the store may hold the call (long poll).
         """
-        if self._end_is_old and self._one_counts and not await self._find_end():
+        if self._end_is_stale and self._single_key and not await self._refresh_end():
             return False
         if self.next_offset is None or not self.of_known_era:
             return await self._load_newest()
@@ -87,42 +87,42 @@
         if left <= len(self._keys) * NEWEST_COST:
             return await self._read(self.next_offset, wait_s)
         log_event(_log, Event.TOPIC_SKIPPED, topic=self.topic, records=left)
-        if self._one_counts:
+        if self._single_key:
             return await self._read(self._end - 1, 0.0)
         return await self._load_newest()
 
     @property
-    def _one_counts(self) -> bool:
-        # A key that was alone when it was read need not stay so: skipping to the
-        # last record would pass over all others, time and again.
+    def _single_key(self) -> bool:
+        # One key read so far does not make it the only one: others may follow, and
+        # skipping to the last record would miss theirs again and again.
         return self._keys == {self._only_key}
 
     @property
     def of_known_era(self) -> bool:
-        """Whether what was read is of the newest era that any answer told."""
+        """Whether the records read are of the newest era in any answer."""
         if self._eras is None or self._era is None:
             return True
         return self._era == self._eras.known
 
     def has_read(self, offset: int) -> bool:
-        """Whether the record at ``offset`` of the known era was read, or a later one
+        """Whether the record at ``offset`` of the current era was read, or a later one
         of its key."""
         if self.next_offset is None or not self.of_known_era:
             return False
         return self.next_offset > offset
 
     async def load(self) -> None:
-        """Read until the store has answered once."""
+        """Poll until the store has answered once."""
         pause_s = RETRY_S
         while not await self.poll():
             await asyncio.sleep(pause_s)
             pause_s = min(2 * pause_s, RETRY_MAX_S)
 
     async def follow(self, interval_s: float, wait_s: float = 0.0) -> None:
-        """Poll for ever, ``interval_s`` apart."""
+        """Poll until cancelled, ``interval_s`` apart."""
         pause_s = RETRY_S
         while True:
-            # After an outage what is known is brought up to date without waiting.
+            # After an outage the first read is no long poll: it returns at once.
             if await self.poll(wait_s if self.reachable else 0.0):
                 pause_s = RETRY_S
                 await asyncio.sleep(interval_s)
@@ -130,19 +130,21 @@
                 await asyncio.sleep(pause_s)
                 pause_s = min(2 * pause_s, RETRY_MAX_S)
 
-    async def _find_end(self) -> bool:
-        """Ask what was written while the last answer was on its way; whether the
-        store answered. Of a topic with one key only the last record counts, and a
-        large one takes as long as several that follow it take to be written."""
+    async def _refresh_end(self) -> bool:
+        """Query the end of the topic again; returns whether the store answered.
+
+        In a topic with one key only the last record matters. While a large record is
+        being transferred, several newer ones may be written.
+        """
         (key,) = self._keys
         match await self._store.end(self.topic, key):
             case Success(end):
-                self._contact(None)
+                self._update_reachability(None)
                 self._end = end
-                self._end_is_old = False
+                self._end_is_stale = False
                 return True
             case Failure(error):
-                self._contact(error)
+                self._update_reachability(error)
         return False
 
     async def _read(self, offset: int, wait_s: float) -> bool:
@@ -151,41 +153,41 @@
         match result:
             case Failure(error) if error.kind is StoreErrorKind.TRIMMED:
                 return await self._load_newest()
-            case Success(batch) if self._of_other_era(batch):
+            case Success(batch) if self._is_of_other_era(batch):
                 return await self._load_newest()
             case Success(batch):
                 skipped = offset != self.next_offset
                 if skipped and not {r.key for r in batch.records} <= self._keys:
-                    # What was skipped may hold the newest record of our one key.
+                    # The skipped part may hold the newest record of the only key.
                     return await self._load_newest()
                 if not batch.records and time.monotonic() - started_s >= wait_s:
-                    # It was held that long, and nothing came.
+                    # The store held the call all that time and no record arrived.
                     started_s += wait_s
-        return self._take(result, started_s)
+        return self._apply_result(result, started_s)
 
     async def _load_newest(self) -> bool:
         started_s = time.monotonic()
         result = await self._store.newest(self.topic)
         match result:
-            case Success(batch) if self._overtaken(batch):
-                # The log came back from a copy once more meanwhile.
+            case Success(batch) if self._is_outdated(batch):
+                # The log was restored once more meanwhile.
                 return False
             case Success(batch):
-                self._note_era(batch)
-        if not self._take(result, started_s):
+                self._set_era(batch)
+        if not self._apply_result(result, started_s):
             return False
         batch = result.unwrap()
         self._keys = {r.key for r in batch.records if r.value is not None}
         self._reload(set(self._keys))
         return True
 
-    def _overtaken(self, batch: Batch) -> bool:
+    def _is_outdated(self, batch: Batch) -> bool:
         return self._eras is not None and batch.era != self._eras.known
 
-    def _of_other_era(self, batch: Batch) -> bool:
+    def _is_of_other_era(self, batch: Batch) -> bool:
         return batch.era != self._era or not self.of_known_era
 
-    def _note_era(self, batch: Batch) -> None:
+    def _set_era(self, batch: Batch) -> None:
         if self._era is not None and batch.era != self._era:
             log_event(
                 _log,
@@ -199,37 +201,39 @@
             )
         self._era = batch.era
 
-    def _take(self, result: Result[Batch, StoreError], known_at_s: float) -> bool:
-        """Apply an answer of the store; whether it is one.
+    def _apply_result(
+        self, result: Result[Batch, StoreError], complete_at_s: float
+    ) -> bool:
+        """Apply an answer of the store; returns whether there was one.
 
-        :param known_at_s: a time before the store made it.
+        :param complete_at_s: a time before the store made the answer.
         """
         match result:
             case Success(batch):
-                self._contact(None)
+                self._update_reachability(None)
                 for record in batch.records:
                     self._apply(record)
-                    self._note_key(record)
+                    self._track_key(record)
                 self.next_offset = batch.next_offset
                 self._end = batch.end
-                self._end_is_old = bool(batch.records)
+                self._end_is_stale = bool(batch.records)
                 if batch.next_offset >= batch.end:
-                    self._caught_up(known_at_s)
+                    self._caught_up(complete_at_s)
                 return True
             case Failure(error) if error.kind is StoreErrorKind.OLDER_ERA:
-                # The store is there: it answers the next call of its new era.
+                # The store is reachable: it answers the next call in its new era.
                 return False
             case Failure(error):
-                self._contact(error)
+                self._update_reachability(error)
         return False
 
-    def _note_key(self, record: KeyedRecord) -> None:
+    def _track_key(self, record: KeyedRecord) -> None:
         if record.value is None:
             self._keys.discard(record.key)
         else:
             self._keys.add(record.key)
 
-    def _contact(self, error: StoreError | None) -> None:
+    def _update_reachability(self, error: StoreError | None) -> None:
         if self.reachable is (error is None):
             return
         self.reachable = error is None
