--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -1,4 +1,4 @@
-"""What one entry process knows, shared by its tasks and handlers."""
+"""State of an entry process, shared by its tasks and handlers."""
 
 import collections
 import logging
@@ -41,27 +41,27 @@
 _log = logging.getLogger(__name__)
 
 RETRY_SHARE = 0.7
-"""Share of the fleet-wide allowance for second attempts that entries use: an
-entry counts its own requests only, and callers are not spread evenly."""
+"""Part of the fleet-wide retry budget that entries use: an entry counts only its own
+requests, and clients are not spread evenly."""
 
 
 class Gateway:
     """State of one entry process.
 
-    :param settings: its place in the deployment.
-    :param started_s: when the process began, on the steady clock.
+    :param settings: settings of the process.
+    :param started_s: start of the process on the monotonic clock.
     :ivar exchanges: requests admitted and not yet answered.
     :ivar stop: the planned stop, once it has begun.
-    :ivar closing: the planned stop waits for no more requests.
+    :ivar closing: whether the planned stop no longer waits for requests.
     :ivar durations: how long requests of each route took.
-    :ivar config_known_at_s: up to when each configuration that was confirmed is
-        known here, on the steady clock.
-    :ivar endpoints_known_at_s: the same of the endpoints' registrations.
-    :ivar endpoints_took_s: how long the last read of them took.
-    :ivar endpoints_reachable: whether the last read of them was answered.
-    :ivar suspects: which requests end endpoints.
-    :ivar suspects_at: how many requests under suspicion this entry has at each
-        endpoint.
+    :ivar config_known_at_s: time on the monotonic clock up to which every confirmed
+        configuration is known here.
+    :ivar endpoints_known_at_s: the same for the endpoints' registrations.
+    :ivar endpoints_took_s: duration of the last read of the registrations.
+    :ivar endpoints_reachable: whether the store answered that read.
+    :ivar suspects: tracks which requests crash endpoints.
+    :ivar suspects_at: number of suspected requests that this entry has in flight at
+        each endpoint.
     """
 
     def __init__(self, settings: ProcessSettings, started_s: float) -> None:
@@ -86,45 +86,45 @@
         )
         self.endpoints = EndpointBook(settings.zone, self.rng)
         self.endpoints_known = False
-        self.notes = PeerNotes(self._take_note)
+        self.notes = PeerNotes(self._on_note)
         self.table: RoutingTable | None = None
         self.config_known_at_s = float("-inf")
         self.endpoints_known_at_s = float("-inf")
         self.endpoints_took_s = 0.0
         self.endpoints_reachable = True
         self.telemetry = Telemetry()
-        self.eras.on_change(self._era_changed)
+        self.eras.on_change(self._on_era_change)
         self.in_flight = 0
         self.exchanges: set[Exchange] = set()
         self.stop: PlannedStop | None = None
         self.closing = False
         self.durations = Durations()
-        self._retries: dict[ServiceName, RetryBudget] = {}
+        self._retry_budgets: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
         self.ended_endpoints = EndedEndpoints(
-            self.endpoints.superseded, self._endpoint_ended
+            self.endpoints.superseded, self._on_endpoint_ended
         )
         self.suspects = SuspectKeeper(
             self.store,
             self.entry_id,
             self.boot_id,
             self.eras,
-            self._tell_findings,
+            self._send_findings,
             self._log_shut_out,
         )
         self.suspects_at: collections.Counter[EndpointId] = collections.Counter()
-        self._shut_out: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
+        self._logged_shut_out: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
             MOST_SUSPECTS
         )
 
     @property
     def leaving(self) -> bool:
-        """Whether a planned stop has begun: callers are told to go elsewhere."""
+        """Whether a planned stop has begun: clients are sent to other entries."""
         return self.stop is not None
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether clients should be sent here."""
         return (
             not self.leaving
             and self.table is not None
@@ -134,36 +134,37 @@
         )
 
     def config_age_s(self, now_s: float) -> float:
-        """How old what is known of the configuration is."""
+        """Age of the known configuration."""
         return now_s - self.config_known_at_s
 
     def may_deny(self, now_s: float) -> bool:
-        """Whether what the configuration here does not have does not exist.
+        """Whether a route or key that is missing here certainly does not exist.
 
-        A route or key that is in force may not have been heard of here: denied for
-        good, its callers would not ask another entry.
+        If the known configuration is too old, the route or key may be in force
+        elsewhere: after a final refusal its clients would not try another entry.
         """
         return self.config_age_s(now_s) < self.settings.config_in_force_s
 
     def endpoints_late(self, now_s: float) -> bool:
-        """Whether the log answers, but an endpoint's leaving would be known too late.
+        """Whether the log answers, but too slowly to learn in time that an endpoint
+        leaves.
 
-        On a link that callers fill a read takes seconds, and an endpoint that left
-        meanwhile looks ready; a request that is sent to it then waits as long for the
-        link again. Without the log, what is known stands.
+        On a link saturated by clients a read takes seconds, and an endpoint that left
+        meanwhile looks ready; a request sent to it then waits as long for the link
+        again. While the log is unreachable, the known registrations stay valid.
         """
         age_s = now_s - self.endpoints_known_at_s
         arrives_s = age_s + self.endpoints_took_s
         return self.endpoints_reachable and arrives_s > self.settings.leaving_known_s
 
-    def _era_changed(self, change: EraChange) -> None:
+    def _on_era_change(self, change: EraChange) -> None:
         self.telemetry.store_restores.inc()
         if not self.keeper.started:
-            # What was read since this start may be of the copy.
+            # What this process has read so far may be from the snapshot.
             self.config_known_at_s = float("-inf")
         self.endpoints.restored()
 
-    def _endpoint_ended(self, ended: EndedEndpoint) -> None:
+    def _on_endpoint_ended(self, ended: EndedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
         log_event(
             _log,
@@ -182,39 +183,39 @@
         self.suspects.publish(found)
         self._log_shut_out(found)
 
-    def _tell_findings(self, findings: Findings) -> None:
+    def _send_findings(self, findings: Findings) -> None:
         members = self.keeper.members.live(time.monotonic())
         self.suspects.entries = len(members) + 1
         addresses = [member.peer_address for member in members]
         self.notes.tell_findings(addresses, findings)
 
-    def _hear_findings(self, findings: Findings) -> None:
+    def _on_findings(self, findings: Findings) -> None:
         now_s = time.monotonic()
         for evidence in findings.seen:
             self.endpoints.ended(evidence.ending.endpoint_id, now_s)
         self.suspects.hear(findings)
 
     def _log_shut_out(self, findings: Findings) -> None:
-        """Log once who is shut out by what was found."""
+        """Log each newly shut out request once for the same endings."""
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
             suspect = self.suspects.book.suspect(fingerprint, now_s)
             if suspect.standing is not Standing.SHUT_OUT:
                 continue
             endings = frozenset(suspect.endings)
-            if self._shut_out.get(fingerprint) == endings:
+            if self._logged_shut_out.get(fingerprint) == endings:
                 continue
-            self._shut_out[fingerprint] = endings
+            self._logged_shut_out[fingerprint] = endings
             log_shut_out(_log, suspect)
 
     def count_suspects(self) -> None:
-        """Have the metrics tell how many requests are under suspicion."""
+        """Set the gauges of requests under suspicion."""
         suspects = self.suspects.book.suspects(time.monotonic())
         counts = collections.Counter(suspect.standing for suspect in suspects)
         for standing in (Standing.WATCHED, Standing.ALONE, Standing.SHUT_OUT):
             self.telemetry.suspects.labels(standing.value).set(counts[standing])
 
-    def _take_note(self, note: Note) -> None:
+    def _on_note(self, note: Note) -> None:
         match note:
             case PromptNote(endpoint_id, work_s):
                 self.endpoints.note(endpoint_id, work_s, time.monotonic())
@@ -222,18 +223,21 @@
                 self.keeper.members.leaving(entry_id, started_s)
                 log_event(_log, Event.PEER_LEAVING, entry=entry_id)
             case Findings():
-                self._hear_findings(note)
+                self._on_findings(note)
 
     def tell_leaving(self) -> None:
-        """Tell the others, who send callers here, that a planned stop has begun."""
+        """Announce the planned stop to the other entries, which send clients here."""
         members = self.keeper.members.live(time.monotonic())
         addresses = [member.peer_address for member in members]
         self.notes.tell_leaving(addresses, LeaveNote(self.entry_id, self.started_s))
 
     def tell_prompt(self, endpoint_id: EndpointId, work_s: float) -> None:
-        """Tell the others that have callers of a long prompt sent to an endpoint: in a
-        fleet of hundreds a note to each entry would fill the links of those that send
-        nothing to engines."""
+        """Announce a long prompt sent to an endpoint to the other entries that have
+        clients.
+
+        In a fleet of hundreds, a message to every entry would fill the links of those
+        that send nothing to engines.
+        """
         if work_s < NOTE_LEAST_S:
             return
         division = self.keeper.members.division(time.monotonic())
@@ -241,21 +245,21 @@
         self.notes.tell_prompt(addresses, PromptNote(endpoint_id, work_s))
 
     def load_times(self, now_s: float) -> float:
-        """How many times the work of this entry the fleet does."""
+        """Load of the fleet as a multiple of this entry's load."""
         return self.keeper.members.division(now_s).load_times
 
     def retry_budget(self, service: ServiceName, now_s: float) -> RetryBudget:
-        """The allowance for second attempts at ``service``."""
-        budget = self._retries.get(service)
+        """The retry budget for ``service``."""
+        budget = self._retry_budgets.get(service)
         if budget is None:
             share = RETRY_SHARE * self.settings.retry_slack / 2
             burst = max(1.0, share / self.keeper.members.division(now_s).allowances)
             budget = RetryBudget(self.settings.retry_ratio * RETRY_SHARE, burst)
-            self._retries[service] = budget
+            self._retry_budgets[service] = budget
         return budget
 
     async def close(self) -> None:
-        """Close the connections to endpoints and store."""
+        """Close all connections."""
         await self.ended_endpoints.close()
         await self.connections.close()
         self.notes.close()
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -1,4 +1,4 @@
-"""What the entry does with news of the configuration and the endpoints."""
+"""Applies changes of the configuration and of the endpoints' registrations."""
 
 import logging
 import time
@@ -18,15 +18,15 @@
 
 
 def make_config_tail(gateway: Gateway) -> KeyedTail:
-    """Follows the operators' configuration."""
+    """A tail that applies the operators' configuration."""
 
     def apply(record: KeyedRecord) -> None:
         if record.key == CONFIG_KEY and record.value is not None:
-            _take_config(gateway, record.value)
+            _apply_config(gateway, record.value)
 
     def caught_up(at_s: float) -> None:
-        # The copy may lack what was confirmed: until it is written again, what the
-        # configuration here does not have may exist.
+        # A restored log may lack versions that were confirmed. Until they are written
+        # again, a route or key missing from the configuration here may exist.
         if gateway.eras.rewritten(at_s):
             gateway.config_known_at_s = at_s
 
@@ -40,7 +40,7 @@
     )
 
 
-def _take_config(gateway: Gateway, raw: bytes) -> None:
+def _apply_config(gateway: Gateway, raw: bytes) -> None:
     try:
         table = decode_config(raw)
     except ConfigError as exc:
@@ -48,7 +48,7 @@
         return
     known = gateway.table
     if known is not None and table.version <= known.version:
-        # A read that lags behind must not bring an older version back.
+        # A read that lags behind must not reinstate an older version.
         log_event(_log, Event.CONFIG_IGNORED_STALE, version=table.version)
         return
     gateway.table = table
@@ -65,11 +65,11 @@
     )
 
 
-def _log_registered(registration: Registration, took: Registered) -> None:
+def _log_registration(registration: Registration, result: Registered) -> None:
     event = Event.ENDPOINT_REGISTERED
-    if took is Registered.STALE:
+    if result is Registered.STALE:
         event = Event.ENDPOINT_STALE
-    elif took is Registered.STARTED_AGAIN:
+    elif result is Registered.STARTED_AGAIN:
         event = Event.ENDPOINT_STARTED_AGAIN
     elif registration.draining:
         event = Event.ENDPOINT_DRAINING
@@ -83,7 +83,7 @@
 
 
 def make_endpoint_tail(gateway: Gateway) -> KeyedTail:
-    """Follows the endpoints' registrations."""
+    """A tail that applies the endpoints' registrations."""
 
     def drop(endpoint_id: EndpointId) -> None:
         gateway.endpoints.dropped(endpoint_id, time.monotonic())
@@ -101,16 +101,16 @@
         try:
             registration = decode_registration(record.key, record.value)
         except RegistrationError as exc:
-            # Whoever wrote it, it says nothing that work could be sent by; what
-            # the id said before is no longer so.
+            # Whoever wrote the record, it does not allow requests to be sent, and
+            # the previous registration is no longer valid.
             log_event(_log, Event.REGISTRATION_REJECTED, logging.ERROR, detail=str(exc))
             gateway.endpoints.disowned(endpoint_id, now_s)
             return
-        took = gateway.endpoints.register(registration, now_s)
-        if took is Registered.STARTED_AGAIN:
+        result = gateway.endpoints.register(registration, now_s)
+        if result is Registered.STARTED_AGAIN:
             gateway.connections.lose(endpoint_id)
-        if took is not Registered.SAME:
-            _log_registered(registration, took)
+        if result is not Registered.SAME:
+            _log_registration(registration, result)
 
     def reload(keys: set[str]) -> None:
         gateway.endpoints_known = True
