--- a/src/celerytrack/gateway/peer_notes.py
+++ b/src/celerytrack/gateway/peer_notes.py
@@ -1,16 +1,15 @@
-"""What entries tell each other directly, by datagrams.
-
-Of long prompts, as they are sent: an entry sees only its own part of the work, and two
-that send one each to the same engine at the same moment delay each other and every
-short request behind them. Of a planned stop, as it begins: the row that says so comes
-late or not at all while the log is slow or away, and callers would be sent to an entry
-that leaves.
-
-A note is one datagram to each entry. One that is lost leaves the others with the
-assumption they had before; nobody waits.
-
-Of requests under which endpoints ended (:mod:`celerytrack.suspects`), as it is seen:
-the log brings that too, and later.
+"""Datagrams between entries.
+
+- Long prompts, as they are sent. An entry sees only its own part of the load: if two
+  entries send a long prompt to the same engine at the same time, these delay each other
+  and every short request behind them.
+- A planned stop, as it begins. While the log is slow or unreachable, the row that says
+  so arrives late or not at all, and clients would be sent to an entry that leaves.
+- Requests during which endpoints ended (:mod:`celerytrack.suspects`), as it is seen.
+  The log carries them too, but later.
+
+Each message is one datagram to each entry. Delivery is best effort: if a datagram is
+lost, the receiver keeps its previous view, and no request waits for it.
 """
 
 import asyncio
@@ -35,21 +34,21 @@
 _log = logging.getLogger(__name__)
 
 NOTE_LEAST_S = 0.03
-"""Prompts that take an engine less than this are not told: they hold up no other by a
-time that its caller would notice."""
+"""Prompts of less prefill time are not announced: the delay that they cause to other
+requests is too short for a client to notice."""
 MOST_TOLD = 100
-"""Entries told of a prompt at most: a larger fleet has more engines than one entry
-uses."""
+"""Most entries that a prompt is announced to: a larger fleet has more engines than one
+entry uses."""
 MOST_WORK_S = 60.0
-"""Engine time that one note may tell of: a prompt that fills an engine's memory
-is read in half of it. A note of more would keep all entries from an engine."""
+"""Largest prefill time in a message: a prompt that fills an engine's memory takes half
+of it. A larger value would keep all entries from the engine."""
 
 
 @attrs.frozen
 class PromptNote:
     """A long prompt was sent to an endpoint.
 
-    :ivar work_s: how long the engine takes to read it.
+    :ivar work_s: prefill time of the prompt on the engine.
     """
 
     endpoint_id: EndpointId
@@ -60,7 +59,7 @@
 class LeaveNote:
     """A planned stop of an entry has begun.
 
-    :ivar started_s: when the start that ends began, as its rows say.
+    :ivar started_s: start of the ending incarnation, as in its rows.
     """
 
     entry_id: EntryId
@@ -72,11 +71,11 @@
 
 
 class NoteError(ValueError):
-    """A datagram that is no note."""
+    """A datagram cannot be decoded."""
 
 
 def decode_note(data: bytes) -> Note:
-    """What a datagram tells.
+    """Decode a datagram.
 
     :raises NoteError: naming what is wrong.
     """
@@ -87,16 +86,18 @@
     match fields:
         case [str(endpoint_id), int() | float() as work_s] if type(work_s) is not bool:
             if not 0 <= work_s <= MOST_WORK_S:
-                raise NoteError(f"work must be 0 to {MOST_WORK_S:.0f} s: {work_s}")
+                raise NoteError(
+                    f"prefill time must be 0 to {MOST_WORK_S:.0f} s: {work_s}"
+                )
             return PromptNote(EndpointId(endpoint_id), float(work_s))
         case ["leaving", str(entry_id), float(started_s)]:
             return LeaveNote(EntryId(entry_id), started_s)
         case [kind, *_] if kind == KIND:
-            return _findings(fields)
-    raise NoteError(f"no note: {str(fields)[:100]}")
+            return _decode_findings(fields)
+    raise NoteError(f"unknown message: {str(fields)[:100]}")
 
 
-def _findings(fields: object) -> Findings:
+def _decode_findings(fields: object) -> Findings:
     try:
         return findings_of(fields)
     except FindingsError as exc:
@@ -104,9 +105,9 @@
 
 
 class PeerNotes(asyncio.DatagramProtocol):
-    """Owns the socket on which notes are sent and taken.
+    """Sends and receives messages on one UDP socket.
 
-    :param take: told each note of another entry.
+    :param take: called with each message of another entry.
     """
 
     def __init__(self, take: Take) -> None:
@@ -114,21 +115,23 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self, address: str) -> None:
-        """Take notes on ``address`` (``host:port``)."""
+        """Bind the socket to ``address`` (``host:port``)."""
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self, local_addr=_split(address))
+        await loop.create_datagram_endpoint(
+            lambda: self, local_addr=_split_address(address)
+        )
 
     def tell_prompt(self, addresses: Iterable[str], note: PromptNote) -> None:
-        """Tell the entries at ``addresses`` of a prompt sent to an endpoint."""
-        told = itertools.islice(addresses, MOST_TOLD)
-        self._send(told, msgpack.packb((note.endpoint_id, note.work_s)))
+        """Announce a prompt sent to an endpoint to the entries at ``addresses``."""
+        recipients = itertools.islice(addresses, MOST_TOLD)
+        self._send(recipients, msgpack.packb((note.endpoint_id, note.work_s)))
 
     def tell_leaving(self, addresses: Iterable[str], note: LeaveNote) -> None:
-        """Tell the entries at ``addresses`` that this one leaves."""
+        """Announce to the entries at ``addresses`` that this one leaves."""
         self._send(addresses, msgpack.packb(("leaving", note.entry_id, note.started_s)))
 
     def tell_findings(self, addresses: Iterable[str], findings: Findings) -> None:
-        """Tell the entries at ``addresses`` of requests that end endpoints."""
+        """Send findings about suspect requests to the entries at ``addresses``."""
         self._send(addresses, encode_findings(findings))
 
     def _send(self, addresses: Iterable[str], data: bytes) -> None:
@@ -136,7 +139,7 @@
             return
         for address in addresses:
             try:
-                self._transport.sendto(data, _split(address))
+                self._transport.sendto(data, _split_address(address))
             except (ValueError, OSError) as exc:
                 log_event(_log, Event.NOTE_FAILED, address=address, detail=str(exc))
 
@@ -148,12 +151,12 @@
     # -- asyncio.DatagramProtocol ------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
-        # The loops' own datagram transports are no subclasses of asyncio's.
+        """Keep the transport of the open socket."""
+        # The datagram transports of event loops need not subclass asyncio's.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Another entry tells something."""
+        """Decode a datagram and hand over its message."""
         try:
             note = decode_note(data)
         except NoteError as exc:
@@ -162,10 +165,10 @@
         self._take(note)
 
     def error_received(self, exc: Exception) -> None:
-        """An entry is not there: its instance answers that the port is closed."""
+        """Log an ICMP error: no process listens on the port of an entry."""
         log_event(_log, Event.NOTE_FAILED, logging.DEBUG, detail=repr(exc))
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, port = address.rsplit(":", 1)
     return host, int(port)
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -1,4 +1,4 @@
-"""Log lines of a log that came back from an older copy."""
+"""Log lines about a restore of the platform's log from an older snapshot."""
 
 import logging
 from collections.abc import Set
@@ -11,14 +11,14 @@
 _log = logging.getLogger(__name__)
 
 LOGGED_MOST = 20
-"""Entries that one line names."""
+"""Most entries named in one line."""
 
 
 def log_restored(change: EraChange, offset: int | None, awaited: Set[EntryId]) -> None:
-    """Say that the log came back.
+    """Log that the platform's log was restored.
 
-    :param offset: up to where the rows of the old era were read.
-    :param awaited: the entries whose rows of the new era are waited for.
+    :param offset: offset up to which the rows of the old era were read.
+    :param awaited: entries that have yet to write a row in the new era.
     """
     log_event(
         _log,
@@ -32,7 +32,7 @@
 
 
 def log_hold_over(guard: RestoreGuard, era: Era | None) -> None:
-    """Say how long claims were held, and for whom in vain."""
+    """Log how long claims were held, and which entries still wrote no row."""
     log_event(
         _log,
         Event.ERA_CLAIMS_HELD,
