--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -1,5 +1,5 @@
-"""Reloads of the settings and changes of the configuration beside requests in progress,
-on gateways that are processes."""
+"""Reloads of the settings and changes of the configuration while requests are in
+flight, on gateways that run as processes."""
 
 import asyncio
 import contextlib
@@ -22,8 +22,8 @@
 
 EVENTS = 20
 EVENT_S = 0.1
-NO_MORE_S = 3.8
-"""After the signal of a planned stop; nothing is taken any more."""
+NOT_ACCEPTING_S = 3.8
+"""Time after the signal of a planned stop when no more requests are accepted."""
 HEADERS = {
     "Host": HOST,
     "X-Attempt-Id": "r1",
@@ -38,7 +38,7 @@
 
 
 async def _serve(request: web.BaseRequest) -> web.StreamResponse:
-    """Two seconds of work, as a stream or at once."""
+    """Answer after two seconds of work, as a stream or in one piece."""
     if not request.path.startswith(("/stream", "/resume")):
         await asyncio.sleep(EVENTS * EVENT_S)
         return web.Response(body=b"done", headers=_echo(request))
@@ -64,9 +64,9 @@
     async def ask(
         self, path: str, serial: int = 1, limit_ms: int = 15_000
     ) -> tuple[int, bytes]:
-        """Ask once; the status and the whole answer.
+        """Send one request; returns the status and the whole answer.
 
-        :raises aiohttp.ClientError: if the answer has no end.
+        :raises aiohttp.ClientError: if the answer is incomplete.
         """
         deadline = {"X-Attempt-Id": f"r{serial}", "X-Deadline-Ms": str(limit_ms)}
         headers = {**HEADERS, **deadline}
@@ -75,7 +75,7 @@
             return answer.status, await answer.read()
 
     async def ask_all(self, count: int = 1) -> list[tuple[int, bytes]]:
-        """Ask for one of each kind, and wait for all."""
+        """Send ``count`` requests of each kind at once and wait for all."""
         paths = IN_FLIGHT * count
         asking = (self.ask(path, i) for i, path in enumerate(paths))
         return list(await asyncio.gather(*asking))
@@ -84,7 +84,7 @@
         await self.gateway.until(lambda: len(self.endpoint.seen) >= count, 3.0)
 
     def write_settings(self, text: str | bytes | None) -> None:
-        """Change the settings file, or take it away."""
+        """Change the settings file, or remove it."""
         path = self.gateway._settings
         if text is None:
             path.unlink()
@@ -117,7 +117,7 @@
 
 
 class ReloadTest(unittest.TestCase):
-    def _whole(self, answers: list[tuple[int, bytes]]) -> None:
+    def _assert_complete(self, answers: list[tuple[int, bytes]]) -> None:
         for status, body in answers:
             self.assertEqual(status, 200)
             self.assertTrue(body == b"done" or body.count(b"data: ") == EVENTS)
@@ -129,11 +129,11 @@
         ("not UTF-8", b"node = \xff"),
         ("taken away", None),
     )
-    def test_a_reload_cuts_nothing(self, name, text):
-        """Guards against requests lost with a reload of any settings file."""
-        asyncio.run(self._reloads(text))
+    def test_reload_loses_no_request(self, name, text):
+        """Guards against requests lost in a reload, whatever the settings hold."""
+        asyncio.run(self._reload_in_flight(text))
 
-    async def _reloads(self, text: str | bytes | None) -> None:
+    async def _reload_in_flight(self, text: str | bytes | None) -> None:
         async with _site() as site:
             asking = asyncio.create_task(site.ask_all(count=5))
             await site.in_flight(5)
@@ -144,34 +144,35 @@
             for _ in range(10):
                 site.gateway.signal(signal.SIGHUP)
                 await asyncio.sleep(0.1)
-            self._whole(await asking)
-            self._whole(await site.ask_all())
+            self._assert_complete(await asking)
+            self._assert_complete(await site.ask_all())
             self.assertIsNone(await site.gateway.ended(0.1))
 
     @params(0.0, 0.3)
-    def test_a_reload_in_a_planned_stop_cuts_nothing(self, after_s):
-        """Guards against a stop that gives up requests by a later grace time."""
-        asyncio.run(self._reload_in_stop(after_s))
+    def test_reload_during_a_planned_stop_loses_no_request(self, after_s):
+        """Guards against a stop that drops requests because a reload during it shortens
+        the grace time."""
+        asyncio.run(self._reload_during_stop(after_s))
 
-    async def _reload_in_stop(self, after_s: float) -> None:
+    async def _reload_during_stop(self, after_s: float) -> None:
         async with _site() as site:
             asking = asyncio.create_task(site.ask_all(count=5))
             await site.in_flight(5)
             site.gateway.signal(signal.SIGTERM)
-            # Of two signals that wait for a process the lower number goes first.
+            # Of two pending signals the one with the lower number is delivered first.
             stopping = functools.partial(site.gateway.lines, "process_stopping")
             await site.gateway.until(lambda: bool(stopping()), 2.0)
             await asyncio.sleep(after_s)
             site.write_settings(settings_text(1, site.store_address, 1.0))
             site.gateway.signal(signal.SIGHUP)
-            self._whole(await asking)
+            self._assert_complete(await asking)
             self.assertEqual(await site.gateway.ended(8.0), 0)
 
-    def test_a_reload_does_not_name_an_address_where_nobody_listens(self):
+    def test_reload_does_not_announce_an_address_without_a_listener(self):
         """Guards against callers sent to a listener that was never opened."""
-        asyncio.run(self._other_front())
+        asyncio.run(self._reload_with_other_front())
 
-    async def _other_front(self) -> None:
+    async def _reload_with_other_front(self) -> None:
         async with _site() as site:
             text = settings_text(1, site.store_address)
             site.write_settings(text.replace(":8227", ":8228"))
@@ -182,25 +183,25 @@
                 named = await answer.text()
             self.assertIn(site.gateway.front_address, named)
 
-    def test_a_reload_at_the_start_does_not_end_the_process(self):
-        """Guards against a start that is ended by news of its settings file."""
-        asyncio.run(self._at_start())
+    def test_reload_during_startup_does_not_end_the_process(self):
+        """Guards against a process that a reload signal terminates during startup."""
+        asyncio.run(self._reload_at_start())
 
-    async def _at_start(self) -> None:
+    async def _reload_at_start(self) -> None:
         async with _site(start=False) as site:
             starting = asyncio.create_task(site.gateway.start())
             try:
-                await self._importing(site.gateway)
+                await self._wait_for_imports(site.gateway)
                 site.gateway.signal(signal.SIGHUP)
-                self.assertIsNone(await site.gateway.ended(1.0), "it ended")
+                self.assertIsNone(await site.gateway.ended(1.0), "the process ended")
                 await starting
-                self._whole(await site.ask_all())
+                self._assert_complete(await site.ask_all())
             finally:
                 starting.cancel()
                 await site.gateway.kill()
 
-    async def _importing(self, gateway: GatewayProcess) -> None:
-        """Wait until the process runs our code, and loads what that needs."""
+    async def _wait_for_imports(self, gateway: GatewayProcess) -> None:
+        """Wait until the process runs its main module and imports its dependencies."""
         for _ in range(2_000):
             await asyncio.sleep(0.002)
             process = gateway._process
@@ -209,7 +210,7 @@
             maps = pathlib.Path(f"/proc/{process.pid}/maps")
             if "aiohttp" in maps.read_text():
                 return
-        raise AssertionError("it did not start")
+        raise AssertionError("the gateway process did not start")
 
 
 def _without_routes(data: dict[str, object]) -> None:
@@ -245,11 +246,12 @@
         _other_service,
         _without_services,
     )
-    def test_a_change_cuts_nothing(self, change):
-        """Guards against requests in progress lost with what they were taken by."""
-        asyncio.run(self._changes(change))
+    def test_config_change_loses_no_request(self, change):
+        """Guards against requests in flight that are lost with the route, tenant or
+        service by which they were admitted."""
+        asyncio.run(self._change_in_flight(change))
 
-    async def _changes(self, change) -> None:
+    async def _change_in_flight(self, change) -> None:
         async with _site() as site:
             asking = asyncio.create_task(site.ask_all(count=5))
             await site.in_flight(20)
@@ -266,14 +268,15 @@
                 self.assertTrue(body == b"done" or body.count(b"data: ") == EVENTS)
 
 
-class NoTimeLeftTest(unittest.TestCase):
-    def test_a_request_without_time_left_is_not_sent(self):
-        """Guards against work begun, and answered as maybe run, past its deadline."""
-        asyncio.run(self._no_time())
+class ExpiredRequestTest(unittest.TestCase):
+    def test_request_without_time_left_is_not_sent(self):
+        """Guards against work that begins after its deadline and is then answered as
+        possibly executed."""
+        asyncio.run(self._send_without_time())
 
-    async def _no_time(self) -> None:
+    async def _send_without_time(self) -> None:
         async with _site() as site:
-            # There is a connection to the endpoint from now on.
+            # Opens a connection to the endpoint.
             await site.ask("/plain/x")
             status, _ = await site.ask("/once/x", 2, limit_ms=20)
             await asyncio.sleep(0.3)
@@ -281,11 +284,12 @@
 
 
 class LateBodyTest(unittest.TestCase):
-    def test_a_request_whose_body_comes_late_in_a_stop_is_not_taken(self):
-        """Guards against a request that is checked at its head and taken much later."""
-        asyncio.run(self._late_body())
+    def test_request_whose_body_arrives_late_in_a_stop_is_refused(self):
+        """Guards against a request that is admitted by its head, before a planned stop,
+        and executed much later, when its body arrives."""
+        asyncio.run(self._send_late_body())
 
-    async def _late_body(self) -> None:
+    async def _send_late_body(self) -> None:
         async with _site() as site:
             host, port = site.gateway.front_address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -294,7 +298,7 @@
             writer.write(f"POST /stream/x HTTP/1.1\r\n{head}\r\nbo".encode())
             await asyncio.sleep(0.2)
             site.gateway.signal(signal.SIGTERM)
-            await asyncio.sleep(NO_MORE_S)
+            await asyncio.sleep(NOT_ACCEPTING_S)
             writer.write(b"dy")
             answer = await asyncio.wait_for(reader.readline(), 2.0)
             self.assertEqual(answer.split(b" ")[1], b"503")
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -1,4 +1,4 @@
-"""What an entry asks of the others about the row that the log has lost."""
+"""Recovery of an entry's row, which the log has lost, from other entries."""
 
 import time
 import unittest
@@ -16,9 +16,10 @@
 ME = EntryId("e0")
 
 
-class RecallTest(unittest.IsolatedAsyncioTestCase):
-    async def test_another_entry_tells_the_row_it_knows(self) -> None:
-        """A start believed the copy, and its former claims were given out again."""
+class RowRecoveryTest(unittest.IsolatedAsyncioTestCase):
+    async def test_peer_returns_the_row_it_knows(self) -> None:
+        """Guards against tokens that are spent twice: a new incarnation trusted the
+        backup, and other entries claimed again what its predecessor had claimed."""
         async with Fleet(gateways=2) as fleet:
             first, second = fleet.gateways
             known = second.keeper.book.guard.known
@@ -35,14 +36,14 @@
             ):
                 self.assertEqual(answer.status, 404)
 
-    async def test_one_that_does_not_answer_tells_nothing(self) -> None:
+    async def test_unreachable_peer_returns_an_empty_row(self) -> None:
         client = GiftClient()
         self.addAsyncCleanup(client.close)
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         self.assertEqual(await client.ask_row("127.0.0.1:1", ME), {})
-        self.assertLess(time.monotonic() - began_s, 0.5)
+        self.assertLess(time.monotonic() - started_s, 0.5)
 
-    def test_what_is_recalled_counts_as_spent(self) -> None:
+    def test_recovered_claim_counts_as_spent(self) -> None:
         book = PrepaidBook(ME)
         book.set_totals({T: 1_000})
         book.fold(ME, {T: Row(claimed_tokens=100, used_tokens=50)}, Era(1))
@@ -52,7 +53,7 @@
         self.assertEqual(book.rows.mine()[T].claimed_tokens, 400)
         self.assertLessEqual(book.left_tokens(T, 0.0), 0)
 
-    def test_shares_are_read_as_written_and_nothing_else_is(self) -> None:
+    def test_shares_survive_a_round_trip_and_bad_bytes_are_rejected(self) -> None:
         shares = {T: Row(claimed_tokens=5, used_tokens=2)}
         self.assertEqual(decode_shares(encode_shares(shares)), shares)
         for raw in (b"", b"\x01", b"\x81\xa1t\x01", b"\x81\xa1t\x91\xc3"):
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -1,4 +1,4 @@
-"""Entries over HTTP before a log that comes back from an older copy of itself."""
+"""Entries that talk over HTTP to a log that is restored from an older backup."""
 
 import asyncio
 import time
@@ -19,10 +19,10 @@
 from tests.keyed_log import KeyedLog
 
 TOPIC = "keyed.rows"
-VIEW_S = 2.0
-"""For how long an entry may deny by what it last knew."""
-BEATS_S = 1.0
-"""Three times from row to row, and a read: claims rise again within it."""
+MAY_DENY_S = 2.0
+"""How long after its last read an entry may refuse unknown routes for good."""
+MAX_HOLD_S = 1.0
+"""Three row intervals and a read: claims can rise again after this."""
 ACCOUNT = "t"
 
 
@@ -30,10 +30,10 @@
     return web.Response(headers={**SEAL, "X-Attempt-Id": "r1"})
 
 
-class TailOfACopyTest(unittest.IsolatedAsyncioTestCase):
-    async def test_no_record_below_its_offset_is_missed(self):
-        """The end is past the tail's offset again, no 410 comes, and what lies below
-        in the new history is never read."""
+class RestoredTailTest(unittest.IsolatedAsyncioTestCase):
+    async def test_records_below_the_old_offset_are_read(self):
+        """Guards against records that are never read: when the restored log has grown
+        past the tail's offset again, no 410 shows that records below it are new."""
         for rewritten in (0, 1, 2, 3, 4, 9):
             with self.subTest(rewritten=rewritten):
                 await self._assert_read(rewritten)
@@ -49,11 +49,11 @@
         tail = KeyedTail(client, TOPIC, apply)
         log.put(TOPIC, "a", b"1")
         log.put(TOPIC, "b", b"1")
-        older = log.copy()
+        backup = log.copy()
         for value in (b"2", b"3", b"4"):
             log.put(TOPIC, "a", value)
         await tail.load()
-        log.restore(older)
+        log.restore(backup)
         for i in range(rewritten):
             log.put(TOPIC, f"new-{i}", b"1")
         for _ in range(2):
@@ -61,9 +61,9 @@
         newest = {key: value for key, (_, value) in log.topic(TOPIC).newest().items()}
         self.assertEqual(known, newest)
 
-    async def test_a_held_read_of_the_old_era_counts_for_nothing(self):
-        """A read that was held is answered in the next era, by a record that took the
-        place of another."""
+    async def test_long_poll_begun_in_the_old_era_is_discarded(self):
+        """Guards against a long poll that is answered in the next era, with a record
+        that replaced another one at the same offset."""
         log = KeyedLog()
         client = await client_of(self, log)
         known: dict[str, bytes] = {}
@@ -73,20 +73,20 @@
 
         tail = KeyedTail(client, TOPIC, apply)
         log.put(TOPIC, "a", b"1")
-        older = log.copy()
+        backup = log.copy()
         log.put(TOPIC, "a", b"2")
         await tail.load()
         held = asyncio.create_task(tail.poll(1.0))
         await asyncio.sleep(0.1)
-        log.restore(older)
+        log.restore(backup)
         log.put(TOPIC, "b", b"1")
         log.put(TOPIC, "c", b"1")
         self.assertTrue(await held)
         self.assertEqual(known, {"a": b"1", "b": b"1", "c": b"1"})
 
 
-class BadEraTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_bad_era_is_logged_and_as_good_as_none(self):
+class InvalidEraTest(unittest.IsolatedAsyncioTestCase):
+    async def test_invalid_era_is_logged_once_and_ignored(self):
         for text in ("x", "-1", "1.5", ""):
             with self.subTest(text=text):
                 log = KeyedLog()
@@ -100,7 +100,7 @@
                 self.assertIn(repr(text), logged.records[0].detail)
                 self.assertIsNone(batch.era)
 
-    async def test_eras_that_fall_jump_or_are_missing_at_times_end_in_the_newest(self):
+    async def test_tail_converges_whatever_eras_the_answers_report(self):
         log = KeyedLog()
         client = await client_of(self, log)
         known: dict[str, bytes] = {}
@@ -111,17 +111,17 @@
         tail = KeyedTail(client, TOPIC, apply)
         for i, text in enumerate(("5", "4", None, "9", "x", "9", "0")):
             log.era_text = lambda _, text=text: text
-            older = log.copy()
+            backup = log.copy()
             log.put(TOPIC, f"k{i}", b"lost")
             await tail.poll()
-            log.restore(older)
+            log.restore(backup)
             log.put(TOPIC, f"k{i}", b"kept")
         log.era_text = lambda _: "12"
         for _ in range(2):
             await tail.poll()
         self.assertEqual(known, dict.fromkeys((f"k{i}" for i in range(7)), b"kept"))
 
-    async def test_a_late_answer_is_no_answer(self):
+    async def test_late_answer_of_an_older_era_is_discarded(self):
         log = KeyedLog()
         client = await client_of(self, log)
         await client.read(TOPIC, 0)
@@ -136,27 +136,29 @@
 
 
 class RestoredFleetTest(unittest.IsolatedAsyncioTestCase):
-    async def test_rows_are_written_again_before_anything_else_is_claimed(self):
-        """The log comes back without the rows of the last seconds; once, and twice in
+    async def test_rows_are_republished_before_more_is_claimed(self):
+        """The log is restored without the rows of the last seconds; once, and twice in
         quick succession."""
         for times in (1, 2):
             with self.subTest(times=times):
-                await self._assert_written_again(times)
+                await self._assert_republished(times)
 
-    async def _assert_written_again(self, times):
+    async def _assert_republished(self, times):
         async with Fleet(Endpoint("a", _answer), gateways=3) as fleet:
-            older = fleet.log.copy()
+            backup = fleet.log.copy()
             await asyncio.sleep(4.0)
             books = [g.keeper.book for g in fleet.gateways]
             accepted = [b._share(ACCOUNT).accepted_tokens for b in books]
             for _ in range(times):
-                await fleet.log.restore_after(older, 0.3)
+                await fleet.log.restore_after(backup, 0.3)
             era = fleet.log.era
-            await fleet.until(lambda: self._written(fleet, era), 2.0)
+            await fleet.until(lambda: self._republished(fleet, era), 2.0)
             # Rows of the new era have lower offsets than those read before.
-            await fleet.until(lambda: not any(b.guard.holding for b in books), BEATS_S)
-            kept = [b._share(ACCOUNT).accepted_tokens for b in books]
-            for before, after in zip(accepted, kept, strict=True):
+            await fleet.until(
+                lambda: not any(b.guard.holding for b in books), MAX_HOLD_S
+            )
+            after_restore = [b._share(ACCOUNT).accepted_tokens for b in books]
+            for before, after in zip(accepted, after_restore, strict=True):
                 self.assertGreaterEqual(after, before)
             for gateway in fleet.gateways:
                 metrics = gateway.telemetry.render().decode()
@@ -165,58 +167,60 @@
             self.assertEqual(status, 200)
 
     @staticmethod
-    def _written(fleet, era):
+    def _republished(fleet, era):
         newest = fleet.log.topic(ENTRIES_TOPIC).newest()
         rows = [decode_member(key, value) for key, (_, value) in newest.items()]
         return len(rows) == 3 and all(row.era == era for row in rows)
 
-    async def test_no_version_goes_back_and_nothing_is_denied_from_the_copy(self):
-        """Entries that had not read a version before the log lost it told callers of
-        its routes 404, which is final, from the copy."""
+    async def test_version_never_decreases_and_no_route_is_denied_in_error(self):
+        """Guards against a final 404 for a route in force: entries that had not read a
+        version before the log lost it refused its routes by the backup."""
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway, log = fleet.gateways[0], fleet.log
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(2))
             await fleet.until(lambda: gateway.table.version == 2)
-            older = log.copy()
+            backup = log.copy()
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(3, idle_routes=1))
-            restoring = asyncio.create_task(log.restore_after(older, VIEW_S + 0.5, 1.5))
-            told = set()
+            restoring = asyncio.create_task(
+                log.restore_after(backup, MAY_DENY_S + 0.5, 1.5)
+            )
+            statuses = set()
             while not restoring.done():
                 era = log.era
                 status, _, _ = await fleet.ask("/idle-00000/x")
                 if era > 1:
-                    told.add(status)
+                    statuses.add(status)
                 self.assertEqual(gateway.table.version, 2)
                 await asyncio.sleep(0.1)
-            self.assertEqual(told, {503})
+            self.assertEqual(statuses, {503})
             await fleet.until(lambda: gateway.table.version == 3, 2.0)
 
-    async def test_a_version_in_force_is_kept_until_it_is_written_again(self):
+    async def test_version_in_force_is_kept_until_it_is_republished(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway, log = fleet.gateways[0], fleet.log
-            older = log.copy()
+            backup = log.copy()
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(2))
             await fleet.until(lambda: gateway.table.version == 2)
-            restoring = asyncio.create_task(log.restore_after(older, 0.2, 1.0))
+            restoring = asyncio.create_task(log.restore_after(backup, 0.2, 1.0))
             while not restoring.done():
                 self.assertEqual(gateway.table.version, 2)
                 await asyncio.sleep(0.05)
 
-    async def test_who_left_stays_gone_and_who_is_missing_is_kept_for_its_time(self):
-        """The copy holds an endpoint that left, and lacks one that serves."""
+    async def test_departed_endpoint_stays_gone_and_missing_one_is_kept(self):
+        """The backup holds an endpoint that left and lacks one that serves."""
         left, late = Endpoint("left", _answer), Endpoint("late", _answer)
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway, log = fleet.gateways[0], fleet.log
             numbers = {"born": 1, "sequence": 1}
             log.put(ENDPOINTS_TOPIC, "left", left.registration(**numbers))
             await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a", "left"})
-            older = log.copy()
+            backup = log.copy()
             log.put(ENDPOINTS_TOPIC, "left", b"")
             log.put(ENDPOINTS_TOPIC, "late", late.registration(**numbers))
             await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a", "late"})
-            log.restore(older)
-            ends_s = time.monotonic() + 1.5
-            while time.monotonic() < ends_s:
+            log.restore(backup)
+            deadline_s = time.monotonic() + 1.5
+            while time.monotonic() < deadline_s:
                 self.assertEqual(set(gateway.endpoints.ids()), {"a", "late"})
                 await asyncio.sleep(0.05)
             await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a"}, 3.0)
