--- a/bench/restore_bench.py
+++ b/bench/restore_bench.py
@@ -18,7 +18,7 @@
 
 from bench.restore_plot import plot
 from bench.rows import keep_rows, make_parser, print_row
-from celerytrack.gateway import share_keeper
+from celerytrack.gateway import share_sync
 from celerytrack.lab.after_return import Owed, most_writes_per_s, normal_again_s
 from celerytrack.lab.prepaid_fleet import PrepaidFleet
 from celerytrack.lab.prepaid_scenarios import Fault, FaultKind, Scenario
@@ -106,8 +106,8 @@
 @functools.cache
 def _decode_once() -> None:
     """Have a row that every entry reads decoded once."""
-    decode = functools.lru_cache(ROWS_MOST)(share_keeper.decode_member)
-    share_keeper.decode_member = decode  # type: ignore[assignment]
+    decode = functools.lru_cache(ROWS_MOST)(share_sync.decode_member)
+    share_sync.decode_member = decode  # type: ignore[assignment]
 
 
 def _over_s(faults: tuple[Fault, ...]) -> float:
--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -6,7 +6,7 @@
 
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.refusals import RefusedError
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.share_sync import ShareKeeper
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import AccountId
 from celerytrack.platform.http import RequestError, decode_request
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -26,7 +26,7 @@
     PeerNotes,
     PromptNote,
 )
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.share_sync import ShareKeeper
 from celerytrack.gateway.suspect_keeper import SuspectKeeper
 from celerytrack.gateway.telemetry import Telemetry
 from celerytrack.ids import EndpointId, EntryId, ServiceName
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -9,7 +9,7 @@
 from celerytrack.gateway.gifts import ASK_TIMEOUT_S
 from celerytrack.gateway.hedged_store import HedgedStore
 from celerytrack.gateway.reservations import Reservations
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.share_sync import ShareKeeper
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.lab.model_log import ModelLog, ModelStore
 from celerytrack.lab.virtual_time import Clock, on_instance
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -8,7 +8,7 @@
 
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.reservations import FIRST_WAIT_S
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.share_sync import ShareKeeper
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
 from celerytrack.prepaid import Row
