--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -7,7 +7,7 @@
 
 from cachetools import LRUCache
 
-from celerytrack.gateway.gifts import GiftClient
+from celerytrack.gateway.peer_requests import GiftClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.members import MemberView
 from celerytrack.prepaid import PrepaidBook, Reservation
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -11,9 +11,9 @@
 from aiohttp import web
 
 from celerytrack.events import Event, log_event
-from celerytrack.gateway.gifts import answer_peer
 from celerytrack.gateway.leaving import end_now, leave, log_stage
 from celerytrack.gateway.listeners import Listeners
+from celerytrack.gateway.peer_requests import answer_peer
 from celerytrack.gateway.pipeline import handle
 from celerytrack.gateway.row_writer import FencedError
 from celerytrack.gateway.state import Gateway
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -13,9 +13,9 @@
 
 from celerytrack.eras import Era, EraChange, EraWatch
 from celerytrack.events import Event, log_event
-from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.gateway.last_row import LastRow, clock_offset_s
+from celerytrack.gateway.peer_requests import GiftClient
 from celerytrack.gateway.reservations import (
     SLOW_APPEND_S,
     WAIT_TOKENS_S,
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -17,7 +17,6 @@
 from celerytrack.gateway.connections import EndpointConnections
 from celerytrack.gateway.ended_endpoints import EndedEndpoint, EndedEndpoints
 from celerytrack.gateway.exchange import Exchange
-from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.hedged_store import HedgedStore
 from celerytrack.gateway.peer_notes import (
     NOTE_LEAST_S,
@@ -26,6 +25,7 @@
     PeerNotes,
     PromptNote,
 )
+from celerytrack.gateway.peer_requests import GiftClient
 from celerytrack.gateway.share_sync import ShareKeeper
 from celerytrack.gateway.suspect_keeper import SuspectKeeper
 from celerytrack.gateway.telemetry import Telemetry
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -6,8 +6,8 @@
 from typing import Any, TypeVar
 
 from celerytrack.eras import EraWatch
-from celerytrack.gateway.gifts import ASK_TIMEOUT_S
 from celerytrack.gateway.hedged_store import HedgedStore
+from celerytrack.gateway.peer_requests import ASK_TIMEOUT_S
 from celerytrack.gateway.reservations import Reservations
 from celerytrack.gateway.share_sync import ShareKeeper
 from celerytrack.ids import AccountId, EntryId, Zone
--- a/tests/test_outside_records.py
+++ b/tests/test_outside_records.py
@@ -9,13 +9,13 @@
 from nose2.tools import params
 
 from celerytrack.endpoint import Registration
-from celerytrack.gateway.gifts import Gift, decode_gift, decode_gift_request
 from celerytrack.gateway.peer_notes import (
     LeaveNote,
     NoteError,
     PromptNote,
     decode_note,
 )
+from celerytrack.gateway.peer_requests import Gift, decode_gift, decode_gift_request
 from celerytrack.ids import EndpointId, ServiceName, Zone
 from celerytrack.members import Member
 from celerytrack.platform import log_format
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -6,7 +6,7 @@
 import aiohttp
 
 from celerytrack.eras import Era
-from celerytrack.gateway.gifts import GiftClient
+from celerytrack.gateway.peer_requests import GiftClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
 from celerytrack.prepaid import PrepaidBook, Row
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -6,7 +6,7 @@
 
 from nose2.tools import params
 
-from celerytrack.gateway.gifts import GiftClient
+from celerytrack.gateway.peer_requests import GiftClient
 from celerytrack.gateway.reservations import FIRST_WAIT_S
 from celerytrack.gateway.share_sync import ShareKeeper
 from celerytrack.ids import AccountId, EntryId, Zone
