--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -18,7 +18,7 @@
 from celerytrack.gateway.ended_endpoints import EndedEndpoint, EndedEndpoints
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.hedged_store import HedgedStore
-from celerytrack.gateway.peer_notes import (
+from celerytrack.gateway.peer_messages import (
     NOTE_LEAST_S,
     LeaveNote,
     Note,
--- a/tests/test_outside_records.py
+++ b/tests/test_outside_records.py
@@ -9,7 +9,7 @@
 from nose2.tools import params
 
 from celerytrack.endpoint import Registration
-from celerytrack.gateway.peer_notes import (
+from celerytrack.gateway.peer_messages import (
     LeaveNote,
     NoteError,
     PromptNote,
--- a/tests/test_peer_notes.py
+++ b/tests/test_peer_notes.py
@@ -9,7 +9,7 @@
 
 from celerytrack.endpoint import Need, Registration
 from celerytrack.endpoints import EndpointBook
-from celerytrack.gateway.peer_notes import LeaveNote, PeerNotes, PromptNote
+from celerytrack.gateway.peer_messages import LeaveNote, PeerNotes, PromptNote
 from celerytrack.ids import EndpointId, EntryId, ServiceName, Zone
 
 SERVICE = ServiceName("llm")
@@ -60,7 +60,7 @@
         b"\x93\xa7leaving\xa1x\xa1y",
     )
     def test_undecodable_datagram_is_logged_and_ignored(self, raw):
-        with self.assertLogs("celerytrack.gateway.peer_notes", "WARNING"):
+        with self.assertLogs("celerytrack.gateway.peer_messages", "WARNING"):
             self.assertEqual(asyncio.run(_exchange([], [raw])), [])
 
     @params("", "x", "somewhere.example:7340", "127.0.0.1:70000", "127.0.0.1:x")
