--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -6,7 +6,7 @@
 
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.refusals import RefusedError
-from celerytrack.gateway.share_sync import ShareKeeper
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import AccountId
 from celerytrack.platform.http import RequestError, decode_request
@@ -122,7 +122,7 @@
 
 
 def lacking_tokens(
-    keeper: ShareKeeper,
+    keeper: ShareSync,
     account: AccountId,
     tokens: int,
     total_known: bool,
--- a/src/celerytrack/gateway/peer_requests.py
+++ b/src/celerytrack/gateway/peer_requests.py
@@ -26,11 +26,11 @@
 
 _log = logging.getLogger(__name__)
 
-ASK_TIMEOUT_S = 0.15
+PEER_REQUEST_TIMEOUT_S = 0.15
 """Time limit for a request to another entry. Entries are milliseconds apart, but an
 instance that exceeds its CPU quota is throttled for a tenth of a second. Tokens
 that it transfers after the limit are lost: no entry can spend them."""
-IDLE_S = 10.0
+CONNECTION_IDLE_S = 10.0
 """Idle time after which a connection to another entry is not reused."""
 _TRANSFER_PATH = "/gift"
 _ROW_PATH = "/row"
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class GiftRequest:
+class TransferRequest:
     """Body of a request for ``tokens`` of ``account``."""
 
     account: str
@@ -49,31 +49,31 @@
 
 
 @attrs.frozen
-class Gift:
+class TransferReply:
     """Body of the answer: how many tokens the other entry transferred."""
 
     tokens: int = attrs.field(validator=_TOKENS)
 
 
-def decode_gift_request(raw: bytes) -> GiftRequest:
+def decode_transfer_request(raw: bytes) -> TransferRequest:
     """Decode a request for tokens.
 
     :raises UnreadableError: naming what is wrong.
     """
-    request: GiftRequest = structure(_converter, parse_json(raw), GiftRequest)
+    request: TransferRequest = structure(_converter, parse_json(raw), TransferRequest)
     return request
 
 
-def decode_gift(raw: bytes) -> Gift:
+def decode_transfer_reply(raw: bytes) -> TransferReply:
     """Decode the answer to a request for tokens.
 
     :raises UnreadableError: naming what is wrong.
     """
-    reply: Gift = structure(_converter, parse_json(raw), Gift)
+    reply: TransferReply = structure(_converter, parse_json(raw), TransferReply)
     return reply
 
 
-class GiftClient:
+class PeerClient:
     """HTTP client for requests to other entries."""
 
     def __init__(self) -> None:
@@ -82,11 +82,13 @@
     @property
     def _session(self) -> aiohttp.ClientSession:
         if self._client_session is None:
-            timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
-            self._client_session = patient_session(IDLE_S, timeout)
+            timeout = aiohttp.ClientTimeout(total=PEER_REQUEST_TIMEOUT_S)
+            self._client_session = patient_session(CONNECTION_IDLE_S, timeout)
         return self._client_session
 
-    async def ask(self, address: str, account: AccountId, tokens: int) -> int:
+    async def request_transfer(
+        self, address: str, account: AccountId, tokens: int
+    ) -> int:
         """Request ``tokens`` from the entry at ``address``; returns how many it
         transferred.
 
@@ -99,14 +101,16 @@
             ) as response:
                 if response.status != 200:
                     return 0
-                answer = decode_gift(await response.read())
+                answer = decode_transfer_reply(await response.read())
                 return min(tokens, answer.tokens)
         except (aiohttp.ClientError, OSError, TimeoutError, UnreadableError) as exc:
             detail = f"{type(exc).__name__}: {exc}"
             log_event(_log, Event.GIFT_FAILED, address=address, detail=detail)
             return 0
 
-    async def ask_row(self, address: str, entry_id: EntryId) -> Mapping[AccountId, Row]:
+    async def fetch_row(
+        self, address: str, entry_id: EntryId
+    ) -> Mapping[AccountId, Row]:
         """Fetch the row of ``entry_id`` as the entry at ``address`` knows it; empty if
         that one does not answer."""
         try:
@@ -127,11 +131,11 @@
             await self._client_session.close()
 
 
-Give = Callable[[AccountId, int], Awaitable[int]]
-Known = Callable[[EntryId], Mapping[AccountId, Row]]
+TransferTokens = Callable[[AccountId, int], Awaitable[int]]
+RowLookup = Callable[[EntryId], Mapping[AccountId, Row]]
 
 
-def answer_row(known: Known, request: web.BaseRequest) -> web.Response:
+def handle_row_query(known: RowLookup, request: web.BaseRequest) -> web.Response:
     """Answer another entry that queries its own row.
 
     :param known: looks up the row known of an entry.
@@ -140,16 +144,18 @@
     return web.Response(body=encode_shares(row))
 
 
-async def answer_peer(
-    give: Give, known: Known, request: web.BaseRequest
+async def handle_peer_request(
+    give: TransferTokens, known: RowLookup, request: web.BaseRequest
 ) -> web.Response:
     """Route a request of another entry to its handler."""
     if request.path == _ROW_PATH and request.method == "GET":
-        return answer_row(known, request)
-    return await answer_gift(give, request)
+        return handle_row_query(known, request)
+    return await handle_transfer(give, request)
 
 
-async def answer_gift(give: Give, request: web.BaseRequest) -> web.Response:
+async def handle_transfer(
+    give: TransferTokens, request: web.BaseRequest
+) -> web.Response:
     """Answer another entry that requests tokens.
 
     :param give: transfers up to the requested tokens of an account; returns how many.
@@ -157,7 +163,7 @@
     if request.path != _TRANSFER_PATH or request.method != "POST":
         return web.Response(status=404)
     try:
-        asked = decode_gift_request(await request.read())
+        asked = decode_transfer_request(await request.read())
     except UnreadableError as exc:
         log_event(_log, Event.GIFT_FAILED, logging.WARNING, detail=str(exc))
         return web.Response(status=400)
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -7,7 +7,7 @@
 
 from cachetools import LRUCache
 
-from celerytrack.gateway.peer_requests import GiftClient
+from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.members import MemberView
 from celerytrack.prepaid import PrepaidBook, Reservation
@@ -63,7 +63,7 @@
         self,
         book: PrepaidBook,
         members: MemberView,
-        gifts: GiftClient,
+        gifts: PeerClient,
         rows: RowTask,
     ) -> None:
         self._book = book
@@ -133,7 +133,9 @@
                 break
             if member is None:
                 continue
-            given = await self._gifts.ask(member.peer_address, account, missing)
+            given = await self._gifts.request_transfer(
+                member.peer_address, account, missing
+            )
             self._book.receive(account, given)
             if given < missing:
                 depleted_until_s = time.monotonic() + EMPTIED_S
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -13,7 +13,7 @@
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.leaving import end_now, leave, log_stage
 from celerytrack.gateway.listeners import Listeners
-from celerytrack.gateway.peer_requests import answer_peer
+from celerytrack.gateway.peer_requests import handle_peer_request
 from celerytrack.gateway.pipeline import handle
 from celerytrack.gateway.row_writer import FencedError
 from celerytrack.gateway.state import Gateway
@@ -159,7 +159,7 @@
     async def _peer(self, request: web.BaseRequest) -> web.StreamResponse:
         keeper = self._gateway.keeper
         give, known = keeper.reservations.give, keeper.book.guard.known
-        return await answer_peer(give, known, request)
+        return await handle_peer_request(give, known, request)
 
     async def _metrics(self, request: web.BaseRequest) -> web.StreamResponse:
         self._gateway.count_suspects()
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -15,7 +15,7 @@
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.gateway.last_row import LastRow, clock_offset_s
-from celerytrack.gateway.peer_requests import GiftClient
+from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.gateway.reservations import (
     SLOW_APPEND_S,
     WAIT_TOKENS_S,
@@ -51,7 +51,7 @@
 resolution of the clock."""
 
 
-class ShareKeeper:
+class ShareSync:
     """Publishes this entry's row and folds those of all entries.
 
     :param entry_id: key of the row; it differs from instance to instance.
@@ -68,7 +68,7 @@
         front_address: str,
         peer_address: str,
         zone: Zone,
-        gifts: GiftClient,
+        gifts: PeerClient,
         started_s: float,
         link_mbps: float = 0.0,
         eras: EraWatch | None = None,
@@ -211,7 +211,7 @@
         if era is None or (last is not None and last.era in (None, era)):
             return
         others = self.members.live(time.monotonic())[:MOST_ASKED]
-        asked = (self._gifts.ask_row(m.peer_address, self._entry_id) for m in others)
+        asked = (self._gifts.fetch_row(m.peer_address, self._entry_id) for m in others)
         for row in await asyncio.gather(*asked):
             self.book.recall(row)
 
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -25,8 +25,8 @@
     PeerNotes,
     PromptNote,
 )
-from celerytrack.gateway.peer_requests import GiftClient
-from celerytrack.gateway.share_sync import ShareKeeper
+from celerytrack.gateway.peer_requests import PeerClient
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.gateway.suspect_keeper import SuspectKeeper
 from celerytrack.gateway.telemetry import Telemetry
 from celerytrack.ids import EndpointId, EntryId, ServiceName
@@ -72,8 +72,8 @@
         self.rng = random.Random(self.boot_id)
         self.eras = EraWatch()
         self.store = HedgedStore(StoreClient(settings.store_address, self.eras))
-        self.gifts = GiftClient()
-        self.keeper = ShareKeeper(
+        self.gifts = PeerClient()
+        self.keeper = ShareSync(
             self.store,
             self.entry_id,
             settings.front_address or "",
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -7,9 +7,9 @@
 
 from celerytrack.eras import EraWatch
 from celerytrack.gateway.hedged_store import HedgedStore
-from celerytrack.gateway.peer_requests import ASK_TIMEOUT_S
+from celerytrack.gateway.peer_requests import PEER_REQUEST_TIMEOUT_S
 from celerytrack.gateway.reservations import Reservations
-from celerytrack.gateway.share_sync import ShareKeeper
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.lab.model_log import ModelLog, ModelStore
 from celerytrack.lab.virtual_time import Clock, on_instance
@@ -32,21 +32,23 @@
         self._me = me
         self._fleet = fleet
 
-    async def ask(self, address: str, account: AccountId, tokens: int) -> int:
+    async def request_transfer(
+        self, address: str, account: AccountId, tokens: int
+    ) -> int:
         """What the entry at ``address``, its number, gave."""
         other = self._fleet[int(address)]
         if self._me.apart or other.apart or other.reservations is None:
-            await asyncio.sleep(ASK_TIMEOUT_S)
+            await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return 0
         await asyncio.sleep(PEER_S)
         giving = on_instance(other.clock, other.reservations.give(account, tokens))
         return await giving
 
-    async def ask_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
+    async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
         """What the entry at ``address`` knows of the row of ``me``."""
         other = self._fleet[int(address)]
         if self._me.apart or other.apart or other.keeper is None:
-            await asyncio.sleep(ASK_TIMEOUT_S)
+            await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
         return other.keeper.book.guard.known(me)
@@ -76,7 +78,7 @@
         self.clock = Clock()
         self.store = ModelStore(log)
         self.reservations: Reservations | None = None
-        self.keeper: ShareKeeper | None = None
+        self.keeper: ShareSync | None = None
         self._totals = totals
         self._fleet = fleet
         self._link_mbps = link_mbps
@@ -86,7 +88,7 @@
         """Start the process anew and wait until it serves."""
         loop = asyncio.get_running_loop()
         self.store.eras = eras = EraWatch()
-        keeper = ShareKeeper(
+        keeper = ShareSync(
             HedgedStore(self.store),
             EntryId(f"e{self.number}"),
             str(self.number),
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -13,7 +13,7 @@
 import attrs
 
 from celerytrack.gateway.admission import SOON_S, lacking_tokens
-from celerytrack.gateway.share_sync import ShareKeeper
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId
 from celerytrack.lab.after_return import Owed
 from celerytrack.lab.model_entry import ModelEntry
@@ -256,7 +256,7 @@
     async def _run(
         self,
         entry: ModelEntry,
-        keeper: ShareKeeper,
+        keeper: ShareSync,
         request: _Request,
         held: Reservation,
     ) -> None:
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -264,7 +264,9 @@
 
     # -- helpers ------------------------------------------------------------------
 
-    async def ask(self, address: str, account: AccountId, tokens: int) -> int:
+    async def request_transfer(
+        self, address: str, account: AccountId, tokens: int
+    ) -> int:
         """Entry to entry: a gift, which may be lost on its way."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
@@ -277,7 +279,7 @@
         alive = other.up and other.gateway.keeper is keeper
         return given if alive and not self.gifts_lost else 0
 
-    async def ask_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
+    async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
         """Entry to entry: what is known of a row, which may be lost like a gift."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
--- a/tests/restored_instance.py
+++ b/tests/restored_instance.py
@@ -71,7 +71,7 @@
         loop_s = asyncio.get_running_loop().time()
         with (
             mock.patch("celerytrack.gateway.state.StoreClient", make_store),
-            mock.patch("celerytrack.gateway.state.GiftClient", lambda: self._gifts),
+            mock.patch("celerytrack.gateway.state.PeerClient", lambda: self._gifts),
         ):
             self.gateway = Gateway(
                 ProcessSettings(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -350,7 +350,7 @@
         """
         # Not the wait for a gift is tried here: beside load this process, which
         # is both entries, stood still for 0.18 s in one step, longer than that.
-        with mock.patch.object(peer_requests, "ASK_TIMEOUT_S", 2.0):
+        with mock.patch.object(peer_requests, "PEER_REQUEST_TIMEOUT_S", 2.0):
             status = await self._asks_for_more_than_it_has()
         self.assertEqual(status, 200)
 
@@ -392,7 +392,9 @@
         """Guards against an answer that comes when the caller's time is over."""
 
         async def longest_wait(*_):
-            await asyncio.sleep(WAIT_TOKENS_S + ASKING_S + peer_requests.ASK_TIMEOUT_S)
+            await asyncio.sleep(
+                WAIT_TOKENS_S + ASKING_S + peer_requests.PEER_REQUEST_TIMEOUT_S
+            )
 
         async with _fleet(_good, config=config(prepaid=100)) as fleet:
             reservations = fleet.gateways[0].keeper.reservations
--- a/tests/test_outside_records.py
+++ b/tests/test_outside_records.py
@@ -15,7 +15,11 @@
     PromptNote,
     decode_note,
 )
-from celerytrack.gateway.peer_requests import Gift, decode_gift, decode_gift_request
+from celerytrack.gateway.peer_requests import (
+    TransferReply,
+    decode_transfer_reply,
+    decode_transfer_request,
+)
 from celerytrack.ids import EndpointId, ServiceName, Zone
 from celerytrack.members import Member
 from celerytrack.platform import log_format
@@ -127,8 +131,8 @@
     @params(b'{"tokens": 1e999}', b'{"tokens": -5}', b'{"tokens": "5"}', b"[]")
     def test_a_gift_is_a_count(self, raw):
         with self.assertRaises(UnreadableError):
-            decode_gift(raw)
-        self.assertEqual(decode_gift(b'{"tokens": 5}'), Gift(5))
+            decode_transfer_reply(raw)
+        self.assertEqual(decode_transfer_reply(b'{"tokens": 5}'), TransferReply(5))
 
     @params(
         {"X-Token-Count": "-5,10"},
@@ -229,7 +233,7 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _json.map(json.dumps).map(str.encode))
     def test_gifts(self, raw):
-        for decode in (decode_gift, decode_gift_request):
+        for decode in (decode_transfer_reply, decode_transfer_request):
             self._only_raises(decode, UnreadableError, raw, object)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -6,7 +6,7 @@
 import aiohttp
 
 from celerytrack.eras import Era
-from celerytrack.gateway.peer_requests import GiftClient
+from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
 from celerytrack.prepaid import PrepaidBook, Row
@@ -24,12 +24,12 @@
             first, second = fleet.gateways
             known = second.keeper.book.guard.known
             await fleet.until(lambda: T in known(first.entry_id))
-            client = GiftClient()
+            client = PeerClient()
             self.addAsyncCleanup(client.close)
             address = second.settings.peer_address
-            row = await client.ask_row(address, first.entry_id)
+            row = await client.fetch_row(address, first.entry_id)
             self.assertEqual(row.keys(), known(first.entry_id).keys())
-            self.assertEqual(await client.ask_row(address, EntryId("nobody")), {})
+            self.assertEqual(await client.fetch_row(address, EntryId("nobody")), {})
             async with (
                 aiohttp.ClientSession() as http,
                 http.post(f"http://{address}/row") as answer,
@@ -37,10 +37,10 @@
                 self.assertEqual(answer.status, 404)
 
     async def test_unreachable_peer_returns_an_empty_row(self) -> None:
-        client = GiftClient()
+        client = PeerClient()
         self.addAsyncCleanup(client.close)
         started_s = time.monotonic()
-        self.assertEqual(await client.ask_row("127.0.0.1:1", ME), {})
+        self.assertEqual(await client.fetch_row("127.0.0.1:1", ME), {})
         self.assertLess(time.monotonic() - started_s, 0.5)
 
     def test_recovered_claim_counts_as_spent(self) -> None:
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -6,9 +6,9 @@
 
 from nose2.tools import params
 
-from celerytrack.gateway.peer_requests import GiftClient
+from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.gateway.reservations import FIRST_WAIT_S
-from celerytrack.gateway.share_sync import ShareKeeper
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
 from celerytrack.prepaid import Row
@@ -25,13 +25,15 @@
     def __init__(self) -> None:
         self.asked_s: list[float] = []
 
-    async def ask(self, address: str, account: AccountId, tokens: int) -> int:
+    async def request_transfer(
+        self, address: str, account: AccountId, tokens: int
+    ) -> int:
         self.asked_s.append(time.monotonic())
         return tokens
 
 
-def _make_keeper(gifts: _GenerousPeers, held_elsewhere: int) -> ShareKeeper:
-    keeper = ShareKeeper(None, ME, "front", "peer", Zone("z"), gifts, 0.0)
+def _make_keeper(gifts: _GenerousPeers, held_elsewhere: int) -> ShareSync:
+    keeper = ShareSync(None, ME, "front", "peer", Zone("z"), gifts, 0.0)
     keeper.book.set_totals({A: TOTAL})
     shares = {A: Row(held_elsewhere, held_elsewhere, 0)}
     keeper._fold(Member(PEER, 1, "f", "p", Zone("z"), SERVING, 0.0))
@@ -73,9 +75,9 @@
 
         server = await asyncio.start_server(stalled, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        client = GiftClient()
+        client = PeerClient()
         started_s = time.monotonic()
-        self.assertEqual(await client.ask(f"{host}:{port}", A, 5), 0)
+        self.assertEqual(await client.request_transfer(f"{host}:{port}", A, 5), 0)
         self.assertLess(time.monotonic() - started_s, 0.8)
         await client.close()
         server.close()
@@ -84,8 +86,10 @@
 class _SlowPeers(_GenerousPeers):
     """Answers after a delay and transfers nothing."""
 
-    async def ask(self, address: str, account: AccountId, tokens: int) -> int:
-        await super().ask(address, account, tokens)
+    async def request_transfer(
+        self, address: str, account: AccountId, tokens: int
+    ) -> int:
+        await super().request_transfer(address, account, tokens)
         await asyncio.sleep(0.06)
         return 0
 
@@ -128,8 +132,10 @@
         super().__init__()
         self.held = held
 
-    async def ask(self, address: str, account: AccountId, tokens: int) -> int:
-        await super().ask(address, account, tokens)
+    async def request_transfer(
+        self, address: str, account: AccountId, tokens: int
+    ) -> int:
+        await super().request_transfer(address, account, tokens)
         given = min(tokens, self.held[address])
         self.held[address] -= given
         return given
