--- a/src/celerytrack/gateway/peer_messages.py
+++ b/src/celerytrack/gateway/peer_messages.py
@@ -33,19 +33,19 @@
 
 _log = logging.getLogger(__name__)
 
-NOTE_LEAST_S = 0.03
+MIN_PROMPT_WORK_S = 0.03
 """Prompts of less prefill time are not announced: the delay that they cause to other
 requests is too short for a client to notice."""
-MOST_TOLD = 100
+MAX_PROMPT_RECIPIENTS = 100
 """Most entries that a prompt is announced to: a larger fleet has more engines than one
 entry uses."""
-MOST_WORK_S = 60.0
+MAX_PROMPT_WORK_S = 60.0
 """Largest prefill time in a message: a prompt that fills an engine's memory takes half
 of it. A larger value would keep all entries from the engine."""
 
 
 @attrs.frozen
-class PromptNote:
+class LongPromptMessage:
     """A long prompt was sent to an endpoint.
 
     :ivar work_s: prefill time of the prompt on the engine.
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class LeaveNote:
+class LeavingMessage:
     """A planned stop of an entry has begun.
 
     :ivar started_s: start of the ending incarnation, as in its rows.
@@ -66,15 +66,15 @@
     started_s: float
 
 
-Note = PromptNote | LeaveNote | Findings
-Take = Callable[[Note], None]
+PeerMessage = LongPromptMessage | LeavingMessage | Findings
+MessageHandler = Callable[[PeerMessage], None]
 
 
-class NoteError(ValueError):
+class PeerMessageError(ValueError):
     """A datagram cannot be decoded."""
 
 
-def decode_note(data: bytes) -> Note:
+def decode_peer_message(data: bytes) -> PeerMessage:
     """Decode a datagram.
 
     :raises NoteError: naming what is wrong.
@@ -82,36 +82,36 @@
     try:
         fields = msgpack.unpackb(data)
     except (ValueError, TypeError, RecursionError, msgpack.UnpackException) as exc:
-        raise NoteError(f"{type(exc).__name__}: {exc}") from None
+        raise PeerMessageError(f"{type(exc).__name__}: {exc}") from None
     match fields:
         case [str(endpoint_id), int() | float() as work_s] if type(work_s) is not bool:
-            if not 0 <= work_s <= MOST_WORK_S:
-                raise NoteError(
-                    f"prefill time must be 0 to {MOST_WORK_S:.0f} s: {work_s}"
+            if not 0 <= work_s <= MAX_PROMPT_WORK_S:
+                raise PeerMessageError(
+                    f"prefill time must be 0 to {MAX_PROMPT_WORK_S:.0f} s: {work_s}"
                 )
-            return PromptNote(EndpointId(endpoint_id), float(work_s))
+            return LongPromptMessage(EndpointId(endpoint_id), float(work_s))
         case ["leaving", str(entry_id), float(started_s)]:
-            return LeaveNote(EntryId(entry_id), started_s)
+            return LeavingMessage(EntryId(entry_id), started_s)
         case [kind, *_] if kind == KIND:
             return _decode_findings(fields)
-    raise NoteError(f"unknown message: {str(fields)[:100]}")
+    raise PeerMessageError(f"unknown message: {str(fields)[:100]}")
 
 
 def _decode_findings(fields: object) -> Findings:
     try:
         return findings_of(fields)
     except FindingsError as exc:
-        raise NoteError(str(exc)) from None
+        raise PeerMessageError(str(exc)) from None
 
 
-class PeerNotes(asyncio.DatagramProtocol):
+class PeerMessenger(asyncio.DatagramProtocol):
     """Sends and receives messages on one UDP socket.
 
-    :param take: called with each message of another entry.
+    :param handler: called with each message of another entry.
     """
 
-    def __init__(self, take: Take) -> None:
-        self._take = take
+    def __init__(self, handler: MessageHandler) -> None:
+        self._handler = handler
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self, address: str) -> None:
@@ -121,16 +121,20 @@
             lambda: self, local_addr=_split_address(address)
         )
 
-    def tell_prompt(self, addresses: Iterable[str], note: PromptNote) -> None:
+    def send_long_prompt(
+        self, addresses: Iterable[str], message: LongPromptMessage
+    ) -> None:
         """Announce a prompt sent to an endpoint to the entries at ``addresses``."""
-        recipients = itertools.islice(addresses, MOST_TOLD)
-        self._send(recipients, msgpack.packb((note.endpoint_id, note.work_s)))
+        recipients = itertools.islice(addresses, MAX_PROMPT_RECIPIENTS)
+        self._send(recipients, msgpack.packb((message.endpoint_id, message.work_s)))
 
-    def tell_leaving(self, addresses: Iterable[str], note: LeaveNote) -> None:
+    def send_leaving(self, addresses: Iterable[str], message: LeavingMessage) -> None:
         """Announce to the entries at ``addresses`` that this one leaves."""
-        self._send(addresses, msgpack.packb(("leaving", note.entry_id, note.started_s)))
+        self._send(
+            addresses, msgpack.packb(("leaving", message.entry_id, message.started_s))
+        )
 
-    def tell_findings(self, addresses: Iterable[str], findings: Findings) -> None:
+    def send_findings(self, addresses: Iterable[str], findings: Findings) -> None:
         """Send findings about suspect requests to the entries at ``addresses``."""
         self._send(addresses, encode_findings(findings))
 
@@ -158,11 +162,11 @@
     def datagram_received(self, data: bytes, addr: object) -> None:
         """Decode a datagram and hand over its message."""
         try:
-            note = decode_note(data)
-        except NoteError as exc:
+            message = decode_peer_message(data)
+        except PeerMessageError as exc:
             log_event(_log, Event.NOTE_REJECTED, logging.WARNING, detail=str(exc))
             return
-        self._take(note)
+        self._handler(message)
 
     def error_received(self, exc: Exception) -> None:
         """Log an ICMP error: no process listens on the port of an entry."""
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -108,7 +108,7 @@
         await listeners.open(settings.directory_address, self._directory)
         await listeners.open(settings.peer_address, self._peer)
         await listeners.open(settings.metrics_address, self._metrics)
-        await self._gateway.notes.open(settings.peer_address)
+        await self._gateway.peer_messenger.open(settings.peer_address)
 
     def _start_tasks(self) -> None:
         gateway = self._gateway
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -19,11 +19,11 @@
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.hedged_store import HedgedStore
 from celerytrack.gateway.peer_messages import (
-    NOTE_LEAST_S,
-    LeaveNote,
-    Note,
-    PeerNotes,
-    PromptNote,
+    MIN_PROMPT_WORK_S,
+    LeavingMessage,
+    LongPromptMessage,
+    PeerMessage,
+    PeerMessenger,
 )
 from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.gateway.share_sync import ShareSync
@@ -86,7 +86,7 @@
         )
         self.endpoints = EndpointBook(settings.zone, self.rng)
         self.endpoints_known = False
-        self.notes = PeerNotes(self._on_note)
+        self.peer_messenger = PeerMessenger(self._on_peer_message)
         self.table: RoutingTable | None = None
         self.config_known_at_s = float("-inf")
         self.endpoints_known_at_s = float("-inf")
@@ -187,7 +187,7 @@
         members = self.keeper.members.live(time.monotonic())
         self.suspects.entries = len(members) + 1
         addresses = [member.peer_address for member in members]
-        self.notes.tell_findings(addresses, findings)
+        self.peer_messenger.send_findings(addresses, findings)
 
     def _on_findings(self, findings: Findings) -> None:
         now_s = time.monotonic()
@@ -215,21 +215,23 @@
         for standing in (Standing.WATCHED, Standing.ALONE, Standing.SHUT_OUT):
             self.telemetry.suspects.labels(standing.value).set(counts[standing])
 
-    def _on_note(self, note: Note) -> None:
-        match note:
-            case PromptNote(endpoint_id, work_s):
+    def _on_peer_message(self, message: PeerMessage) -> None:
+        match message:
+            case LongPromptMessage(endpoint_id, work_s):
                 self.endpoints.note(endpoint_id, work_s, time.monotonic())
-            case LeaveNote(entry_id, started_s):
+            case LeavingMessage(entry_id, started_s):
                 self.keeper.members.leaving(entry_id, started_s)
                 log_event(_log, Event.PEER_LEAVING, entry=entry_id)
             case Findings():
-                self._on_findings(note)
+                self._on_findings(message)
 
     def tell_leaving(self) -> None:
         """Announce the planned stop to the other entries, which send clients here."""
         members = self.keeper.members.live(time.monotonic())
         addresses = [member.peer_address for member in members]
-        self.notes.tell_leaving(addresses, LeaveNote(self.entry_id, self.started_s))
+        self.peer_messenger.send_leaving(
+            addresses, LeavingMessage(self.entry_id, self.started_s)
+        )
 
     def tell_prompt(self, endpoint_id: EndpointId, work_s: float) -> None:
         """Announce a long prompt sent to an endpoint to the other entries that have
@@ -238,11 +240,13 @@
         In a fleet of hundreds, a message to every entry would fill the links of those
         that send nothing to engines.
         """
-        if work_s < NOTE_LEAST_S:
+        if work_s < MIN_PROMPT_WORK_S:
             return
         division = self.keeper.members.division(time.monotonic())
         addresses = [member.peer_address for member in division.sharers]
-        self.notes.tell_prompt(addresses, PromptNote(endpoint_id, work_s))
+        self.peer_messenger.send_long_prompt(
+            addresses, LongPromptMessage(endpoint_id, work_s)
+        )
 
     def load_times(self, now_s: float) -> float:
         """Load of the fleet as a multiple of this entry's load."""
@@ -262,6 +266,6 @@
         """Close all connections."""
         await self.ended_endpoints.close()
         await self.connections.close()
-        self.notes.close()
+        self.peer_messenger.close()
         await self.gifts.close()
         await self.store.close()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -43,7 +43,7 @@
 
 def _lose_notes(fleet: Fleet) -> None:
     for gateway in fleet.gateways:
-        gateway.notes.tell_findings = lambda addresses, findings: None  # type: ignore[method-assign]
+        gateway.peer_messenger.send_findings = lambda addresses, findings: None  # type: ignore[method-assign]
 
 
 async def _convict(fleet: Fleet, run: CrashRun) -> None:
--- a/tests/test_outside_records.py
+++ b/tests/test_outside_records.py
@@ -10,10 +10,10 @@
 
 from celerytrack.endpoint import Registration
 from celerytrack.gateway.peer_messages import (
-    LeaveNote,
-    NoteError,
-    PromptNote,
-    decode_note,
+    LeavingMessage,
+    LongPromptMessage,
+    PeerMessageError,
+    decode_peer_message,
 )
 from celerytrack.gateway.peer_requests import (
     TransferReply,
@@ -125,8 +125,8 @@
         waits at the engine is then infinite too, and never gets less.
         Cause: any number was taken.
         """
-        with self.assertRaises(NoteError):
-            decode_note(msgpack.packb(note))
+        with self.assertRaises(PeerMessageError):
+            decode_peer_message(msgpack.packb(note))
 
     @params(b'{"tokens": 1e999}', b'{"tokens": -5}', b'{"tokens": "5"}', b"[]")
     def test_a_gift_is_a_count(self, raw):
@@ -228,7 +228,12 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _packable.map(msgpack.packb))
     def test_notes(self, raw):
-        self._only_raises(decode_note, NoteError, raw, PromptNote | LeaveNote)
+        self._only_raises(
+            decode_peer_message,
+            PeerMessageError,
+            raw,
+            LongPromptMessage | LeavingMessage,
+        )
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _json.map(json.dumps).map(str.encode))
--- a/tests/test_peer_notes.py
+++ b/tests/test_peer_notes.py
@@ -9,7 +9,11 @@
 
 from celerytrack.endpoint import Need, Registration
 from celerytrack.endpoints import EndpointBook
-from celerytrack.gateway.peer_messages import LeaveNote, PeerNotes, PromptNote
+from celerytrack.gateway.peer_messages import (
+    LeavingMessage,
+    LongPromptMessage,
+    PeerMessenger,
+)
 from celerytrack.ids import EndpointId, EntryId, ServiceName, Zone
 
 SERVICE = ServiceName("llm")
@@ -21,18 +25,20 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-async def _exchange(sent: list[PromptNote | LeaveNote], raw: list[bytes]) -> list:
-    received: list[PromptNote | LeaveNote] = []
+async def _exchange(
+    sent: list[LongPromptMessage | LeavingMessage], raw: list[bytes]
+) -> list:
+    received: list[LongPromptMessage | LeavingMessage] = []
     here, there = _free_address(), _free_address()
-    sender = PeerNotes(lambda note: None)
-    receiver = PeerNotes(received.append)
+    sender = PeerMessenger(lambda message: None)
+    receiver = PeerMessenger(received.append)
     await sender.open(here)
     await receiver.open(there)
-    for note in sent:
-        if isinstance(note, PromptNote):
-            sender.tell_prompt([there], note)
+    for message in sent:
+        if isinstance(message, LongPromptMessage):
+            sender.send_long_prompt([there], message)
         else:
-            sender.tell_leaving([there], note)
+            sender.send_leaving([there], message)
     for data in raw:
         receiver.datagram_received(data, None)
     await asyncio.sleep(0.05)
@@ -44,9 +50,9 @@
 class DatagramTest(unittest.TestCase):
     def test_messages_arrive(self):
         sent = [
-            PromptNote(EndpointId("i-1"), 0.3),
-            LeaveNote(EntryId("e1@10.0.0.1"), 7.5),
-            PromptNote(EndpointId("i-2"), 1.25),
+            LongPromptMessage(EndpointId("i-1"), 0.3),
+            LeavingMessage(EntryId("e1@10.0.0.1"), 7.5),
+            LongPromptMessage(EndpointId("i-2"), 1.25),
         ]
         self.assertEqual(asyncio.run(_exchange(sent, [])), sent)
 
@@ -69,17 +75,20 @@
         asyncio.run(self._send_to_both(address))
 
     async def _send_to_both(self, address: str) -> None:
-        received: list[PromptNote | LeaveNote] = []
+        received: list[LongPromptMessage | LeavingMessage] = []
         here, there = _free_address(), _free_address()
-        sender, receiver = PeerNotes(lambda note: None), PeerNotes(received.append)
+        sender, receiver = (
+            PeerMessenger(lambda message: None),
+            PeerMessenger(received.append),
+        )
         await sender.open(here)
         await receiver.open(there)
-        note = LeaveNote(EntryId("e1@10.0.0.1"), 7.5)
-        sender.tell_leaving([address, there], note)
+        message = LeavingMessage(EntryId("e1@10.0.0.1"), 7.5)
+        sender.send_leaving([address, there], message)
         await asyncio.sleep(0.05)
         sender.close()
         receiver.close()
-        self.assertEqual(received, [note])
+        self.assertEqual(received, [message])
 
 
 class PredictionTest(unittest.TestCase):
