--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -12,27 +12,27 @@
 from celerytrack.members import MemberView
 from celerytrack.prepaid import PrepaidBook, Reservation
 
-WAIT_TOKENS_S = 0.35
+MAX_TOKEN_WAIT_S = 0.35
 """Longest wait of a request for tokens. A slow store completes a row within it; with a
 slower one the client is better served by another entry."""
 SLOW_APPEND_S = 0.1
 """A row that has been in flight for this long is not waited for: rows usually take a
 tenth of it, and the other entries answer sooner."""
-FIRST_WAIT_S = 0.06
+ROW_WAIT_S = 0.06
 """How long a request waits for a row before it asks other entries: an append and a
 read back, with a margin for a slow answer."""
-MOST_ASKED = 6
+MAX_PEERS_ASKED = 6
 """Most entries asked for tokens, one after the other; each answers within a ms."""
-ASKING_S = 0.1
+PEER_REQUESTS_TIMEOUT_S = 0.1
 """Time limit for asking other entries on behalf of one request: tokens that come later
 are too late for a client that waits for a short answer."""
-EMPTIED_S = 1.0
+DEPLETED_TTL_S = 1.0
 """How long an entry that transferred less than requested is skipped. While the log is
 unreachable its last row stays valid: the same few depleted entries would be asked again
 and again instead of those that hold the remaining tokens."""
-EMPTIED_MOST = 4_096
+DEPLETED_CACHE_SIZE = 4_096
 """Pairs of account and entry that the cache of depleted entries holds."""
-DRY_S = 0.25
+SHORTFALL_TTL_S = 0.25
 """How long a shortfall of an account is cached, so that no request asks the other
 entries for as many tokens again. The client is refused without waiting for them, and a
 fleet with a used-up account does not exchange queries at every request."""
@@ -41,14 +41,14 @@
 class RowTask(Protocol):
     """The task that publishes this entry's row."""
 
-    def prompt(self, now_s: float) -> bool:
+    def can_write_soon(self, now_s: float) -> bool:
         """Whether a row made now would soon be on the log."""
 
-    async def next_row(self, timeout_s: float) -> None:
+    async def flush_row(self, timeout_s: float) -> None:
         """Request an early row and wait up to ``timeout_s`` until it is folded."""
 
     @property
-    def soon_s(self) -> float:
+    def max_row_wait_s(self) -> float:
         """Longest time that a request waits for a row in flight."""
 
 
@@ -72,7 +72,7 @@
         self._rows = rows
         self._shortfalls: dict[AccountId, tuple[int, float]] = {}
         self._depleted_until_s: LRUCache[tuple[AccountId, EntryId], float]
-        self._depleted_until_s = LRUCache(EMPTIED_MOST)
+        self._depleted_until_s = LRUCache(DEPLETED_CACHE_SIZE)
 
     async def reserve(
         self, account: AccountId, tokens: int, urgent: bool
@@ -90,17 +90,17 @@
             if reservation is not None or self._book.exhausted(account, tokens):
                 return reservation
             may_claim = self._book.may_claim(account, tokens, urgent)
-            soon_s = self._rows.soon_s
-            left_s = started_s + _wait_limit_s(may_claim, asked, soon_s) - now_s
-            if left_s > 0 and self._rows.prompt(now_s):
-                await self._rows.next_row(min(left_s, soon_s))
+            max_row_wait_s = self._rows.max_row_wait_s
+            left_s = started_s + _wait_limit_s(may_claim, asked, max_row_wait_s) - now_s
+            if left_s > 0 and self._rows.can_write_soon(now_s):
+                await self._rows.flush_row(min(left_s, max_row_wait_s))
             elif not asked and not self._is_known_short(account, tokens, now_s):
                 asked = True
                 await self._request_from_peers(account, tokens, now_s)
             else:
                 return None
 
-    async def give(self, account: AccountId, tokens: int) -> int:
+    async def transfer(self, account: AccountId, tokens: int) -> int:
         """Transfer up to ``tokens`` to another entry; returns how many.
 
         Only a small part of the claim is in hand. While the log answers, a row frees
@@ -109,9 +109,9 @@
         now_s = time.monotonic()
         short = self._book.givable_tokens(account, now_s) < tokens
         more = self._book.may_free(account, now_s)
-        if short and more and self._rows.prompt(now_s):
+        if short and more and self._rows.can_write_soon(now_s):
             self._book.want(account, self._book.enough_to_give(tokens))
-            await self._rows.next_row(FIRST_WAIT_S)
+            await self._rows.flush_row(ROW_WAIT_S)
         return self._book.give(account, tokens, time.monotonic())
 
     def _is_known_short(self, account: AccountId, tokens: int, now_s: float) -> bool:
@@ -125,7 +125,7 @@
     ) -> None:
         """Request the missing tokens from the entries that probably hold most."""
         missing = tokens - self._book.left_tokens(account, now_s)
-        deadline_s = now_s + ASKING_S
+        deadline_s = now_s + PEER_REQUESTS_TIMEOUT_S
         asked = self._peers_to_ask(account, now_s)
         for entry in asked:
             member = self._members.member(entry)
@@ -138,21 +138,21 @@
             )
             self._book.receive(account, given)
             if given < missing:
-                depleted_until_s = time.monotonic() + EMPTIED_S
+                depleted_until_s = time.monotonic() + DEPLETED_TTL_S
                 self._depleted_until_s[account, entry] = depleted_until_s
             missing -= given
-        if missing > 0 and len(asked) < MOST_ASKED:
-            self._shortfalls[account] = (missing, time.monotonic() + DRY_S)
+        if missing > 0 and len(asked) < MAX_PEERS_ASKED:
+            self._shortfalls[account] = (missing, time.monotonic() + SHORTFALL_TTL_S)
 
     def _peers_to_ask(self, account: AccountId, now_s: float) -> list[EntryId]:
         """The entries that probably hold most, without those recently depleted."""
         holders = self._book.rows.richest(account)
         until_s = self._depleted_until_s
         candidates = [e for e in holders if until_s.get((account, e), now_s) <= now_s]
-        return candidates[:MOST_ASKED]
+        return candidates[:MAX_PEERS_ASKED]
 
 
-def _wait_limit_s(may_claim: bool, asked: bool, soon_s: float) -> float:
+def _wait_limit_s(may_claim: bool, asked: bool, max_row_wait_s: float) -> float:
     """How long a request waits for rows, from its start.
 
     :param may_claim: whether a row could claim the missing tokens. If other entries
@@ -161,14 +161,14 @@
     """
     if not may_claim:
         return 0.0
-    if asked or soon_s > SLOW_APPEND_S:
+    if asked or max_row_wait_s > SLOW_APPEND_S:
         # A slow store is as slow for the other entries, which wait for a row of their
         # own before they transfer tokens.
-        return WAIT_TOKENS_S
-    return FIRST_WAIT_S
+        return MAX_TOKEN_WAIT_S
+    return ROW_WAIT_S
 
 
-async def wait_for(event: asyncio.Event, timeout_s: float) -> None:
+async def wait_for_event(event: asyncio.Event, timeout_s: float) -> None:
     """Wait for ``event``, but at most ``timeout_s``; a timeout raises nothing."""
     try:
         async with asyncio.timeout(timeout_s):
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -17,10 +17,10 @@
 from celerytrack.gateway.last_row import LastRow, clock_offset_s
 from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.gateway.reservations import (
+    MAX_TOKEN_WAIT_S,
     SLOW_APPEND_S,
-    WAIT_TOKENS_S,
     Reservations,
-    wait_for,
+    wait_for_event,
 )
 from celerytrack.gateway.restore_logs import log_hold_over, log_restored
 from celerytrack.gateway.row_writer import FencedError, RestoredError, RowWriter
@@ -40,13 +40,13 @@
 
 _log = logging.getLogger(__name__)
 
-ROW_TIME_GAIN = 0.3
+ROW_TIME_EWMA_WEIGHT = 0.3
 """Weight of the newest row in the average row time: a store that becomes slow shows
 after three rows."""
-MOST_ASKED = 20
+MAX_RECALL_PEERS = 20
 """Most entries asked for this entry's row: each that was alive when the log was
 restored knows it."""
-LEAST_WAIT_S = 0.001
+MIN_WAIT_S = 0.001
 """Shortest wait for the next due row: the rest of an interval may be below the
 resolution of the clock."""
 
@@ -113,7 +113,7 @@
 
     # -- what reservations need ---------------------------------------------
 
-    def prompt(self, now_s: float) -> bool:
+    def can_write_soon(self, now_s: float) -> bool:
         """Whether a row made now would soon be on the log.
 
         A store that has just stopped answering is detected only when the call times
@@ -122,18 +122,18 @@
         pending_s = (
             0.0 if self._append_started_s is None else now_s - self._append_started_s
         )
-        return self._tail.reachable and pending_s < self.soon_s
+        return self._tail.reachable and pending_s < self.max_row_wait_s
 
     @property
-    def soon_s(self) -> float:
+    def max_row_wait_s(self) -> float:
         """Longest time that a request waits for a row in flight. A store that is slow
         but available completes the append within twice its usual time."""
         return max(SLOW_APPEND_S, 2 * self.book.row_time_s)
 
-    async def next_row(self, timeout_s: float) -> None:
+    async def flush_row(self, timeout_s: float) -> None:
         """Request an early row and wait up to ``timeout_s`` until it is folded."""
         self._wake.set()
-        await wait_for(self._changed, timeout_s)
+        await wait_for_event(self._changed, timeout_s)
 
     # -- the task ----------------------------------------------------------
 
@@ -160,24 +160,24 @@
             left_s = written_s + interval_s - time.monotonic()
             if self._row_due or self._needs_refencing:
                 left_s = 0.0
-            await wait_for(self._wake, max(LEAST_WAIT_S, left_s))
+            await wait_for_event(self._wake, max(MIN_WAIT_S, left_s))
 
-    def leave(self) -> None:
+    def publish_leaving(self) -> None:
         """Publish at once that this entry accepts no new clients."""
         self.state = MemberState.LEAVING
         self._row_due = True
         self._wake.set()
 
-    async def publish_last(self, ends_s: float) -> None:
+    async def publish_final_row(self, ends_s: float) -> None:
         """Return unspent tokens, and wait until ``ends_s`` for the row that says so."""
         self.book.return_unspent()
-        self.leave()
+        self.publish_leaving()
         made = self._rows_made
         while self._rows_folded <= made:
             left_s = ends_s - time.monotonic()
             if left_s <= 0:
                 return
-            await wait_for(self._changed, left_s)
+            await wait_for_event(self._changed, left_s)
 
     async def _take_over(self) -> None:
         # Fence before reading: an append of the previous incarnation that is still in
@@ -210,7 +210,7 @@
         era = self._eras.known
         if era is None or (last is not None and last.era in (None, era)):
             return
-        others = self.members.live(time.monotonic())[:MOST_ASKED]
+        others = self.members.live(time.monotonic())[:MAX_RECALL_PEERS]
         asked = (self._gifts.fetch_row(m.peer_address, self._entry_id) for m in others)
         for row in await asyncio.gather(*asked):
             self.book.recall(row)
@@ -273,9 +273,9 @@
 
     def _update_row_time(self, took_s: float) -> None:
         # A row that was retried during an outage says nothing about the next one.
-        took_s = min(took_s, WAIT_TOKENS_S)
+        took_s = min(took_s, MAX_TOKEN_WAIT_S)
         known_s = self.book.row_time_s
-        self.book.row_time_s = known_s + ROW_TIME_GAIN * (took_s - known_s)
+        self.book.row_time_s = known_s + ROW_TIME_EWMA_WEIGHT * (took_s - known_s)
 
     # -- a restored log ---------------------------------------------------
 
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -41,7 +41,7 @@
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return 0
         await asyncio.sleep(PEER_S)
-        giving = on_instance(other.clock, other.reservations.give(account, tokens))
+        giving = on_instance(other.clock, other.reservations.transfer(account, tokens))
         return await giving
 
     async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -170,13 +170,13 @@
         keeper = instance.gateway.keeper
         if not instance.serves:
             return
-        keeper.leave()
+        keeper.publish_leaving()
         await self.run(0.5)
         instance.closed = True
         await self.run(1.1)
         if instance.gateway.keeper is not keeper or not instance.serves:
             return
-        last = keeper.publish_last(instance.now_s() + LAST_ROW_S)
+        last = keeper.publish_final_row(instance.now_s() + LAST_ROW_S)
         await on_instance(instance.clock, last)
         await self.kill(i, False, down_s)
 
@@ -274,7 +274,7 @@
         if not other.up or not keeper.started:
             return 0
         given = await on_instance(
-            other.clock, keeper.reservations.give(account, tokens)
+            other.clock, keeper.reservations.transfer(account, tokens)
         )
         alive = other.up and other.gateway.keeper is keeper
         return given if alive and not self.gifts_lost else 0
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -12,7 +12,7 @@
 
 from celerytrack.gateway import peer_requests
 from celerytrack.gateway.attempts import CallerGoneError, finish
-from celerytrack.gateway.reservations import ASKING_S, WAIT_TOKENS_S
+from celerytrack.gateway.reservations import MAX_TOKEN_WAIT_S, PEER_REQUESTS_TIMEOUT_S
 from celerytrack.ids import AccountId
 from celerytrack.planned_stop import PlannedStop
 from celerytrack.platform.topics import (
@@ -393,7 +393,9 @@
 
         async def longest_wait(*_):
             await asyncio.sleep(
-                WAIT_TOKENS_S + ASKING_S + peer_requests.PEER_REQUEST_TIMEOUT_S
+                MAX_TOKEN_WAIT_S
+                + PEER_REQUESTS_TIMEOUT_S
+                + peer_requests.PEER_REQUEST_TIMEOUT_S
             )
 
         async with _fleet(_good, config=config(prepaid=100)) as fleet:
@@ -580,7 +582,7 @@
                 # Somewhere between two beats.
                 await asyncio.sleep(0.37)
                 known = len(rows)
-                fleet.gateways[0].keeper.leave()
+                fleet.gateways[0].keeper.publish_leaving()
                 await asyncio.sleep(AT_ONCE_S)
                 self.assertGreater(len(rows), known)
 
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -7,7 +7,7 @@
 from nose2.tools import params
 
 from celerytrack.gateway.peer_requests import PeerClient
-from celerytrack.gateway.reservations import FIRST_WAIT_S
+from celerytrack.gateway.reservations import ROW_WAIT_S
 from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
@@ -44,8 +44,8 @@
 class AskPeersAtOnceTest(unittest.TestCase):
     @params(
         # tokens held by another entry, shortest and longest time until it is asked
-        (TOTAL, 0.0, FIRST_WAIT_S / 2),
-        (TOTAL // 2, FIRST_WAIT_S * 0.9, 1.0),
+        (TOTAL, 0.0, ROW_WAIT_S / 2),
+        (TOTAL // 2, ROW_WAIT_S * 0.9, 1.0),
     )
     def test_no_wait_for_a_row_that_cannot_claim_more(self, held, least_s, most_s):
         """Guards against first tokens that came too late for a tenth of the long
@@ -120,9 +120,9 @@
     def test_peer_without_free_tokens_answers_at_once(self):
         keeper = _make_keeper(_GenerousPeers(), TOTAL)
         started_s = time.monotonic()
-        given = asyncio.run(keeper.reservations.give(A, 1_000))
+        given = asyncio.run(keeper.reservations.transfer(A, 1_000))
         self.assertEqual(given, 0)
-        self.assertLess(time.monotonic() - started_s, FIRST_WAIT_S / 2)
+        self.assertLess(time.monotonic() - started_s, ROW_WAIT_S / 2)
 
 
 class _FinitePeers(_GenerousPeers):
