--- a/src/celerytrack/gateway/hedged_store.py
+++ b/src/celerytrack/gateway/hedged_store.py
@@ -15,12 +15,12 @@
 from celerytrack.platform.log_format import Batch
 from celerytrack.platform.store import StoreError, StoreErrorKind, Writer
 
-SECOND_AFTER_S = 0.05
+MIN_HEDGE_DELAY_S = 0.05
 """Shortest delay before the second call: ten times the usual latency."""
-SECOND_TIMES = 4.0
+HEDGE_LATENCY_FACTOR = 4.0
 """The same as a multiple of the recent latency: a second call would double the load on
 a slow store or a full link to no avail."""
-ANSWER_GAIN = 0.1
+LATENCY_EWMA_WEIGHT = 0.1
 """Weight of the newest answer in the mean latency."""
 
 _T = TypeVar("_T")
@@ -124,7 +124,7 @@
         tasks = [first]
         answer_begun = asyncio.create_task(arriving.wait())
         try:
-            wait_s = max(SECOND_AFTER_S, SECOND_TIMES * self._mean_latency_s)
+            wait_s = max(MIN_HEDGE_DELAY_S, HEDGE_LATENCY_FACTOR * self._mean_latency_s)
             await asyncio.wait(
                 (first, answer_begun), timeout=wait_s, return_when=_FIRST
             )
@@ -143,7 +143,9 @@
         self._reachable = not _is_unanswered(result)
         if self._reachable:
             took_s = time.monotonic() - started_s
-            self._mean_latency_s += ANSWER_GAIN * (took_s - self._mean_latency_s)
+            self._mean_latency_s += LATENCY_EWMA_WEIGHT * (
+                took_s - self._mean_latency_s
+            )
         return result
 
 
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -15,12 +15,12 @@
 
 _log = logging.getLogger(__name__)
 
-RECONSIDER_S = 8.0
+RESOLVE_AGE_TIMEOUT_S = 8.0
 """How long after startup an entry looks for others that lost power together with it:
 they start within a second of each other and write a row a second later."""
 
 
-class LastRow:
+class PreviousRow:
     """Estimates how old the last row of the previous incarnation was when that
     incarnation had certainly ended.
 
@@ -35,7 +35,7 @@
         self._started_s = started_s
         self._undated_row: Member | None = None
 
-    def age_s(self, last: Member | None, era: Era | None) -> float | None:
+    def estimate_age_s(self, last: Member | None, era: Era | None) -> float | None:
         """Age of ``last``; ``None`` if there is no row or its age is unknown.
 
         :param era: current era of the log. If the row is of an older era, a restore
@@ -50,7 +50,7 @@
         self._undated_row = last if age_s is None else None
         return age_s
 
-    def reconsider(
+    def resolve_age(
         self, own_row: Member, members: MemberView, book: PrepaidBook
     ) -> None:
         """Determine an age that is still unknown and free what the adopted claim
@@ -79,7 +79,7 @@
                 others=len(others),
                 lost=book.lost(),
             )
-        elif time.monotonic() - self._started_s < RECONSIDER_S:
+        elif time.monotonic() - self._started_s < RESOLVE_AGE_TIMEOUT_S:
             return
         self._undated_row = None
 
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -10,7 +10,7 @@
 
 _log = logging.getLogger(__name__)
 
-LOGGED_MOST = 20
+MAX_LOGGED_ENTRIES = 20
 """Most entries named in one line."""
 
 
@@ -31,13 +31,13 @@
     )
 
 
-def log_hold_over(guard: RestoreGuard, era: Era | None) -> None:
+def log_hold_ended(guard: RestoreGuard, era: Era | None) -> None:
     """Log how long claims were held, and which entries still wrote no row."""
     log_event(
         _log,
         Event.ERA_CLAIMS_HELD,
         era=era,
         held_s=round(guard.held_s, 3),
-        missing=sorted(guard.missing)[:LOGGED_MOST],
+        missing=sorted(guard.missing)[:MAX_LOGGED_ENTRIES],
         kept=guard.kept,
     )
--- a/src/celerytrack/gateway/row_writer.py
+++ b/src/celerytrack/gateway/row_writer.py
@@ -21,7 +21,7 @@
     """A later incarnation of this entry writes its row: this process must exit."""
 
 
-class RestoredError(Exception):
+class LogRestoredError(Exception):
     """The log was restored from an older snapshot: what was written may be lost."""
 
 
@@ -54,7 +54,7 @@
         """Fence off appends of earlier incarnations."""
         await self._fence(self._raise_epoch)
 
-    async def fence_again(self) -> None:
+    async def refence(self) -> None:
         """Fence off appends sent before the log was restored; they may be in flight.
 
         The restored log may lack the fence that this incarnation set before.
@@ -100,7 +100,7 @@
                 ENTRIES_TOPIC, self._entry_id, value, writer
             )
             if changes != self._eras.changes:
-                raise RestoredError
+                raise LogRestoredError
             match result:
                 case Success(offset):
                     self._sequence += 1
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -14,7 +14,7 @@
 from celerytrack.eras import Era, EraChange, EraWatch
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.hedged_store import Store
-from celerytrack.gateway.last_row import LastRow, clock_offset_s
+from celerytrack.gateway.last_row import PreviousRow, clock_offset_s
 from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.gateway.reservations import (
     MAX_TOKEN_WAIT_S,
@@ -22,8 +22,8 @@
     Reservations,
     wait_for_event,
 )
-from celerytrack.gateway.restore_logs import log_hold_over, log_restored
-from celerytrack.gateway.row_writer import FencedError, RestoredError, RowWriter
+from celerytrack.gateway.restore_logs import log_hold_ended, log_restored
+from celerytrack.gateway.row_writer import FencedError, LogRestoredError, RowWriter
 from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S, KeyedTail
 from celerytrack.ids import EntryId, Zone
 from celerytrack.member import of_other_eras
@@ -91,7 +91,7 @@
         self._superseded = False
         self._writer = RowWriter(store, entry_id, self._on_append_result, self._eras)
         self._append_started_s: float | None = None
-        self._previous_row = LastRow(started_s)
+        self._previous_row = PreviousRow(started_s)
         self._row_due = False
         self._tail = KeyedTail(
             store,
@@ -189,7 +189,7 @@
             await asyncio.sleep(RETRY_S)
         last = self.members.member(self._entry_id)
         await self._recover_own_row(last)
-        age_s = self._previous_row.age_s(last, self._eras.known)
+        age_s = self._previous_row.estimate_age_s(last, self._eras.known)
         self.book.adopt(age_s)
         self._detect_earlier_restore()
         self.started = True
@@ -219,13 +219,13 @@
         was_holding = self.book.guard.holding
         urgent = self.book.plan(parts, now_s)
         if was_holding and not self.book.guard.holding:
-            log_hold_over(self.book.guard, self._eras.known)
+            log_hold_ended(self.book.guard, self._eras.known)
         return urgent
 
     async def _write_row(self) -> None:
         try:
             await self._append_row()
-        except RestoredError:
+        except LogRestoredError:
             # The restored log may lack the row: the next one is made in the new era.
             self._append_started_s = None
 
@@ -252,7 +252,7 @@
         self._append_started_s = now_s
         changes = self._eras.changes
         offset = await self._writer.append(encode_member(member))
-        if self._tail.next_offset == offset and self._tail.of_known_era:
+        if self._tail.next_offset == offset and self._tail.is_current_era:
             # No other entry wrote in between: the row need not be read back.
             self._fold(member)
             self._tail.next_offset = offset + 1
@@ -262,13 +262,13 @@
                 await asyncio.sleep(pause_s)
                 pause_s = min(2 * pause_s, RETRY_MAX_S)
             if changes != self._eras.changes:
-                raise RestoredError
+                raise LogRestoredError
         self._append_started_s = None
         self._update_row_time(time.monotonic() - now_s)
         self.members.read_ok(time.monotonic())
         self.book.row_folded()
         self._rows_folded = self._rows_made
-        self._previous_row.reconsider(member, self.members, self.book)
+        self._previous_row.resolve_age(member, self.members, self.book)
         self._notify_waiters()
 
     def _update_row_time(self, took_s: float) -> None:
@@ -297,7 +297,7 @@
     async def _refence(self) -> None:
         self._handled_era_changes = self._eras.changes
         try:
-            await self._writer.fence_again()
+            await self._writer.refence()
         except FencedError:
             # A snapshot may hold higher epochs of earlier incarnations, from before an
             # earlier restore. A later incarnation, if there is one, has a row on the
--- a/src/celerytrack/gateway/tail.py
+++ b/src/celerytrack/gateway/tail.py
@@ -20,7 +20,7 @@
 RETRY_MAX_S = 0.3
 """Longest pause between two attempts while the store is unreachable: two outages may be
 half a second apart, and a claim stays locked unless a row is written between them."""
-NEWEST_COST = 4 / 3
+NEWEST_COST_RATIO = 4 / 3
 """Cost of a record in a query for the newest of each key, relative to its cost in a
 read: the query encodes it in base64."""
 
@@ -81,10 +81,10 @@
         """
         if self._end_is_stale and self._single_key and not await self._refresh_end():
             return False
-        if self.next_offset is None or not self.of_known_era:
+        if self.next_offset is None or not self.is_current_era:
             return await self._load_newest()
         left = self._end - self.next_offset
-        if left <= len(self._keys) * NEWEST_COST:
+        if left <= len(self._keys) * NEWEST_COST_RATIO:
             return await self._read(self.next_offset, wait_s)
         log_event(_log, Event.TOPIC_SKIPPED, topic=self.topic, records=left)
         if self._single_key:
@@ -98,7 +98,7 @@
         return self._keys == {self._only_key}
 
     @property
-    def of_known_era(self) -> bool:
+    def is_current_era(self) -> bool:
         """Whether the records read are of the newest era in any answer."""
         if self._eras is None or self._era is None:
             return True
@@ -107,7 +107,7 @@
     def has_read(self, offset: int) -> bool:
         """Whether the record at ``offset`` of the current era was read, or a later one
         of its key."""
-        if self.next_offset is None or not self.of_known_era:
+        if self.next_offset is None or not self.is_current_era:
             return False
         return self.next_offset > offset
 
@@ -185,7 +185,7 @@
         return self._eras is not None and batch.era != self._eras.known
 
     def _is_of_other_era(self, batch: Batch) -> bool:
-        return batch.era != self._era or not self.of_known_era
+        return batch.era != self._era or not self.is_current_era
 
     def _set_era(self, batch: Batch) -> None:
         if self._era is not None and batch.era != self._era:
