--- a/src/celerytrack/gateway/row_writer.py
+++ b/src/celerytrack/gateway/row_writer.py
@@ -88,7 +88,7 @@
         """Append one row; returns its offset.
 
         :raises FencedError: if a later incarnation of this entry writes.
-        :raises RestoredError: if the log was restored meanwhile.
+        :raises LogRestoredError: if the log was restored meanwhile.
         """
         pause_s = RETRY_S
         changes = self._eras.changes
--- a/src/celerytrack/gateway/tail.py
+++ b/src/celerytrack/gateway/tail.py
@@ -37,11 +37,12 @@
     it would silently miss what was appended below that offset after the restore.
 
     :param apply: called with each record read, in the order of the log.
-    :param reload: called with the existing keys after a part of the log was skipped;
+    :param on_reload: called with the existing keys after a part of the log was skipped;
         any other key was dropped meanwhile.
-    :param caught_up: called each time the tail has caught up, with the time on the
+    :param on_caught_up: called each time the tail has caught up, with the time on the
         monotonic clock before which everything written is known.
-    :param contact: called when the store becomes unreachable or reachable again.
+    :param on_reachability: called when the store becomes unreachable or is reachable
+        again.
     :param only_key: the only key whose records matter, if there is one; of a backlog
         only the last record is read.
     :param eras: tracks the newest era in any answer of the store; without it, only
@@ -53,9 +54,9 @@
         store: Store,
         topic: str,
         apply: Callable[[KeyedRecord], None],
-        reload: Callable[[set[str]], None] = lambda keys: None,
-        caught_up: Callable[[float], None] = lambda at_s: None,
-        contact: Callable[[bool], None] = lambda reachable: None,
+        on_reload: Callable[[set[str]], None] = lambda keys: None,
+        on_caught_up: Callable[[float], None] = lambda at_s: None,
+        on_reachability: Callable[[bool], None] = lambda reachable: None,
         eras: EraWatch | None = None,
         only_key: str | None = None,
     ) -> None:
@@ -64,9 +65,9 @@
         self.reachable = True
         self._store = store
         self._apply = apply
-        self._reload = reload
-        self._caught_up = caught_up
-        self._on_contact = contact
+        self._on_reload = on_reload
+        self._on_caught_up = on_caught_up
+        self._on_reachability = on_reachability
         self._keys: set[str] = set()
         self._end = 0
         self._end_is_stale = False
@@ -178,7 +179,7 @@
             return False
         batch = result.unwrap()
         self._keys = {r.key for r in batch.records if r.value is not None}
-        self._reload(set(self._keys))
+        self._on_reload(set(self._keys))
         return True
 
     def _is_outdated(self, batch: Batch) -> bool:
@@ -218,7 +219,7 @@
                 self._end = batch.end
                 self._end_is_stale = bool(batch.records)
                 if batch.next_offset >= batch.end:
-                    self._caught_up(complete_at_s)
+                    self._on_caught_up(complete_at_s)
                 return True
             case Failure(error) if error.kind is StoreErrorKind.OLDER_ERA:
                 # The store is reachable: it answers the next call in its new era.
@@ -237,7 +238,7 @@
         if self.reachable is (error is None):
             return
         self.reachable = error is None
-        self._on_contact(self.reachable)
+        self._on_reachability(self.reachable)
         if error is None:
             log_event(_log, Event.STORE_REGAINED, topic=self.topic)
         else:
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -34,7 +34,7 @@
         gateway.store,
         CONFIG_TOPIC,
         apply,
-        caught_up=caught_up,
+        on_caught_up=caught_up,
         eras=gateway.eras,
         only_key=CONFIG_KEY,
     )
