--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -106,7 +106,7 @@
     """
     facts, account = exchange.facts, exchange.account
     tokens = facts.input_tokens + facts.output_tokens
-    book = gateway.keeper.book
+    book = gateway.keeper.budgets
     if account is None or not tokens or not book.limited(account):
         return None
     table = gateway.table
@@ -135,7 +135,7 @@
     :param tokens: what the request may cost at most.
     :param total_known: whether the total may not have been raised unheard of.
     """
-    book = keeper.book
+    book = keeper.budgets
     if total_known and book.exhausted(account, tokens):
         detail = f"{tokens} tokens do not fit what is left"
         return did_not_run(Reason.BUDGET_EXHAUSTED, None, detail)
@@ -151,7 +151,7 @@
     """Charge what the request used, or free it all if it did not run."""
     if held is None:
         return
-    book = gateway.keeper.book
+    book = gateway.keeper.budgets
     if not exchange.may_have_run:
         book.unreserve(held)
         return
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -51,7 +51,7 @@
         return age_s
 
     def resolve_age(
-        self, own_row: Member, members: MemberView, book: PrepaidBook
+        self, own_row: Member, members: MemberView, budgets: PrepaidBook
     ) -> None:
         """Determine an age that is still unknown and free what the adopted claim
         cannot have spent.
@@ -71,13 +71,13 @@
             lead_s = members.prompt_clock_lead_s(clock_offset_s())
             age_s = age_beside_others_s(previous, own_row, lead_s)
         if age_s is not None:
-            book.free_beyond(previous.shares, age_s)
+            budgets.free_beyond(previous.shares, age_s)
             log_event(
                 _log,
                 Event.SHARES_FREED,
                 age_s=age_s,
                 others=len(others),
-                lost=book.lost(),
+                lost=budgets.lost(),
             )
         elif time.monotonic() - self._started_s < RESOLVE_AGE_TIMEOUT_S:
             return
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -61,12 +61,12 @@
 
     def __init__(
         self,
-        book: PrepaidBook,
+        budgets: PrepaidBook,
         members: MemberView,
         gifts: PeerClient,
         rows: RowTask,
     ) -> None:
-        self._book = book
+        self._budgets = budgets
         self._members = members
         self._gifts = gifts
         self._rows = rows
@@ -86,10 +86,10 @@
         asked = False
         while True:
             now_s = time.monotonic()
-            reservation = self._book.reserve(account, tokens, now_s, urgent)
-            if reservation is not None or self._book.exhausted(account, tokens):
+            reservation = self._budgets.reserve(account, tokens, now_s, urgent)
+            if reservation is not None or self._budgets.exhausted(account, tokens):
                 return reservation
-            may_claim = self._book.may_claim(account, tokens, urgent)
+            may_claim = self._budgets.may_claim(account, tokens, urgent)
             max_row_wait_s = self._rows.max_row_wait_s
             left_s = started_s + _wait_limit_s(may_claim, asked, max_row_wait_s) - now_s
             if left_s > 0 and self._rows.can_write_soon(now_s):
@@ -107,24 +107,24 @@
         more of it, which the requesting entry could get from no other entry.
         """
         now_s = time.monotonic()
-        short = self._book.givable_tokens(account, now_s) < tokens
-        more = self._book.may_free(account, now_s)
+        short = self._budgets.givable_tokens(account, now_s) < tokens
+        more = self._budgets.may_free(account, now_s)
         if short and more and self._rows.can_write_soon(now_s):
-            self._book.want(account, self._book.enough_to_give(tokens))
+            self._budgets.want(account, self._budgets.enough_to_give(tokens))
             await self._rows.flush_row(ROW_WAIT_S)
-        return self._book.give(account, tokens, time.monotonic())
+        return self._budgets.give(account, tokens, time.monotonic())
 
     def _is_known_short(self, account: AccountId, tokens: int, now_s: float) -> bool:
         """Whether other entries recently lacked what the request is short of."""
         missing, until_s = self._shortfalls.get(account, (math.inf, 0.0))
-        shortfall = tokens - self._book.left_tokens(account, now_s)
+        shortfall = tokens - self._budgets.left_tokens(account, now_s)
         return now_s < until_s and shortfall >= missing
 
     async def _request_from_peers(
         self, account: AccountId, tokens: int, now_s: float
     ) -> None:
         """Request the missing tokens from the entries that probably hold most."""
-        missing = tokens - self._book.left_tokens(account, now_s)
+        missing = tokens - self._budgets.left_tokens(account, now_s)
         deadline_s = now_s + PEER_REQUESTS_TIMEOUT_S
         asked = self._peers_to_ask(account, now_s)
         for entry in asked:
@@ -136,7 +136,7 @@
             given = await self._gifts.request_transfer(
                 member.peer_address, account, missing
             )
-            self._book.receive(account, given)
+            self._budgets.receive(account, given)
             if given < missing:
                 depleted_until_s = time.monotonic() + DEPLETED_TTL_S
                 self._depleted_until_s[account, entry] = depleted_until_s
@@ -146,7 +146,7 @@
 
     def _peers_to_ask(self, account: AccountId, now_s: float) -> list[EntryId]:
         """The entries that probably hold most, without those recently depleted."""
-        holders = self._book.rows.richest(account)
+        holders = self._budgets.rows.richest(account)
         until_s = self._depleted_until_s
         candidates = [e for e in holders if until_s.get((account, e), now_s) <= now_s]
         return candidates[:MAX_PEERS_ASKED]
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -158,7 +158,7 @@
 
     async def _peer(self, request: web.BaseRequest) -> web.StreamResponse:
         keeper = self._gateway.keeper
-        give, known = keeper.reservations.transfer, keeper.book.guard.known
+        give, known = keeper.reservations.transfer, keeper.budgets.guard.known
         return await handle_peer_request(give, known, request)
 
     async def _metrics(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -73,7 +73,7 @@
         link_mbps: float = 0.0,
         eras: EraWatch | None = None,
     ) -> None:
-        self.book = PrepaidBook(entry_id)
+        self.budgets = PrepaidBook(entry_id)
         self.members = MemberView(entry_id, link_mbps)
         self._pace = RowPace()
         self.state = MemberState.SERVING
@@ -104,7 +104,7 @@
         self._rows_made = 0
         self._rows_folded = 0
         self._changed = asyncio.Event()
-        self.reservations = Reservations(self.book, self.members, gifts, self)
+        self.reservations = Reservations(self.budgets, self.members, gifts, self)
 
     @property
     def reachable(self) -> bool:
@@ -128,7 +128,7 @@
     def max_row_wait_s(self) -> float:
         """Longest time that a request waits for a row in flight. A store that is slow
         but available completes the append within twice its usual time."""
-        return max(SLOW_APPEND_S, 2 * self.book.row_time_s)
+        return max(SLOW_APPEND_S, 2 * self.budgets.row_time_s)
 
     async def flush_row(self, timeout_s: float) -> None:
         """Request an early row and wait up to ``timeout_s`` until it is folded."""
@@ -152,7 +152,7 @@
             interval_s = beat_interval_s(entries)
             if urgent or self._row_due or now_s - written_s >= interval_s:
                 self._row_due = False
-                log_event(_log, Event.SHARES, shares=self.book.summary(now_s))
+                log_event(_log, Event.SHARES, shares=self.budgets.summary(now_s))
                 await self._write_row()
                 written_s = time.monotonic()
                 await asyncio.sleep(self._pace.pause_s(entries, written_s))
@@ -170,7 +170,7 @@
 
     async def publish_final_row(self, ends_s: float) -> None:
         """Return unspent tokens, and wait until ``ends_s`` for the row that says so."""
-        self.book.return_unspent()
+        self.budgets.return_unspent()
         self.publish_leaving()
         made = self._rows_made
         while self._rows_folded <= made:
@@ -190,7 +190,7 @@
         last = self.members.member(self._entry_id)
         await self._recover_own_row(last)
         age_s = self._previous_row.estimate_age_s(last, self._eras.known)
-        self.book.adopt(age_s)
+        self.budgets.adopt(age_s)
         self._detect_earlier_restore()
         self.started = True
         log_event(
@@ -198,7 +198,7 @@
             Event.SHARES_TAKEN_OVER,
             epoch=self._writer.epoch,
             age_s=age_s,
-            lost=self.book.lost(),
+            lost=self.budgets.lost(),
             last_made_s=last.made_s if last else None,
             started_s=self._started_s,
             clock_moved_s=clock_offset_s() - last.clock_offset_s if last else None,
@@ -213,13 +213,13 @@
         others = self.members.live(time.monotonic())[:MAX_RECALL_PEERS]
         asked = (self._gifts.fetch_row(m.peer_address, self._entry_id) for m in others)
         for row in await asyncio.gather(*asked):
-            self.book.recall(row)
+            self.budgets.recall(row)
 
     def _plan(self, parts: float, now_s: float) -> bool:
-        was_holding = self.book.guard.holding
-        urgent = self.book.plan(parts, now_s)
-        if was_holding and not self.book.guard.holding:
-            log_hold_ended(self.book.guard, self._eras.known)
+        was_holding = self.budgets.guard.holding
+        urgent = self.budgets.plan(parts, now_s)
+        if was_holding and not self.budgets.guard.holding:
+            log_hold_ended(self.budgets.guard, self._eras.known)
         return urgent
 
     async def _write_row(self) -> None:
@@ -247,7 +247,7 @@
             clock_lead_s=self.members.clock_lead_s(offset_s),
             link_mbps=self.members.link_mbps,
             era=self._eras.known,
-            shares=self.book.next_row(now_s),
+            shares=self.budgets.next_row(now_s),
         )
         self._append_started_s = now_s
         changes = self._eras.changes
@@ -266,16 +266,16 @@
         self._append_started_s = None
         self._update_row_time(time.monotonic() - now_s)
         self.members.read_ok(time.monotonic())
-        self.book.row_folded()
+        self.budgets.row_folded()
         self._rows_folded = self._rows_made
-        self._previous_row.resolve_age(member, self.members, self.book)
+        self._previous_row.resolve_age(member, self.members, self.budgets)
         self._notify_waiters()
 
     def _update_row_time(self, took_s: float) -> None:
         # A row that was retried during an outage says nothing about the next one.
         took_s = min(took_s, MAX_TOKEN_WAIT_S)
-        known_s = self.book.row_time_s
-        self.book.row_time_s = known_s + ROW_TIME_EWMA_WEIGHT * (took_s - known_s)
+        known_s = self.budgets.row_time_s
+        self.budgets.row_time_s = known_s + ROW_TIME_EWMA_WEIGHT * (took_s - known_s)
 
     # -- a restored log ---------------------------------------------------
 
@@ -285,7 +285,7 @@
         if not self.started:
             alive = set(self._rows_of_other_eras())
         awaited = alive - {self._entry_id}
-        self.book.rose(change.new, awaited, change.seen_at_s)
+        self.budgets.rose(change.new, awaited, change.seen_at_s)
         log_restored(change, self._tail.next_offset, awaited)
         self._wake.set()
 
@@ -323,17 +323,17 @@
     def _apply_record(self, record: KeyedRecord) -> None:
         if record.value is None:
             self.members.dropped(EntryId(record.key))
-            self.book.fold(EntryId(record.key), {})
+            self.budgets.fold(EntryId(record.key), {})
             return
         try:
             self._fold(decode_member(record.key, record.value))
         except RowError as exc:
-            self.book.unreadable(EntryId(record.key))
+            self.budgets.unreadable(EntryId(record.key))
             log_event(_log, Event.ROW_REJECTED, logging.ERROR, detail=str(exc))
 
     def _fold(self, member: Member) -> None:
         self.members.fold(member, time.monotonic())
-        self.book.fold(member.entry_id, member.shares, member.era)
+        self.budgets.fold(member.entry_id, member.shares, member.era)
         if member.entry_id == self._entry_id:
             self._observe_own_row(member)
 
@@ -345,7 +345,7 @@
             self._superseded |= member.started_at_s > started_at_s
 
     def _drop_missing(self, keys: set[str]) -> None:
-        self.book.keep_only({EntryId(key) for key in keys})
+        self.budgets.keep_only({EntryId(key) for key in keys})
 
     def _on_append_result(self, answered: bool) -> None:
         self._tail.reachable = answered
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -51,7 +51,7 @@
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
-        return other.keeper.book.guard.known(me)
+        return other.keeper.budgets.guard.known(me)
 
 
 class ModelEntry:
@@ -101,7 +101,7 @@
         )
         self.keeper = keeper
         await asyncio.sleep(START_S)
-        keeper.book.set_totals(self._totals())
+        keeper.budgets.set_totals(self._totals())
         self.keep(keeper.run())
         while not keeper.started:
             await asyncio.sleep(0.01)
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -271,7 +271,7 @@
         try:
             await asyncio.sleep(request.work.takes_s)
             now_s = loop.time() + entry.clock.steady_ahead_s
-            keeper.book.commit(held, request.input_tokens + given, now_s)
+            keeper.budgets.commit(held, request.input_tokens + given, now_s)
         except asyncio.CancelledError:
             part = min(1.0, (loop.time() - began_s) / request.work.takes_s)
             given = int(given * part)
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -224,7 +224,7 @@
         for instance in self.instances:
             gateway = instance.gateway
             assert gateway.table.version == self.version, gateway.table.version
-            assert not gateway.keeper.book.guard.holding
+            assert not gateway.keeper.budgets.guard.holding
             for name, replica in self.replicas.items():
                 assert self._usable(instance, name) is self._serves(replica), name
             self._check_rows(instance)
@@ -285,7 +285,7 @@
         await asyncio.sleep(0.001)
         if not other.up or self.gifts_lost:
             return {}
-        return other.gateway.keeper.book.guard.known(me)
+        return other.gateway.keeper.budgets.guard.known(me)
 
     async def close(self) -> None:
         """Gifts need no connections here."""
@@ -316,7 +316,7 @@
         self.running -= tokens
         # Killed meanwhile, it has delivered what it has, and told nobody.
         self.used += used
-        gateway.keeper.book.commit(held, used, instance.now_s())
+        gateway.keeper.budgets.commit(held, used, instance.now_s())
 
     def _operator_writes(self, version: int) -> None:
         self.log.put(CONFIG_TOPIC, CONFIG_KEY, config(version, prepaid=TOTAL))
--- a/tests/restored_instance.py
+++ b/tests/restored_instance.py
@@ -150,4 +150,4 @@
 
     def share(self):
         """Its part of the account."""
-        return self.gateway.keeper.book._share(ACCOUNT)
+        return self.gateway.keeper.budgets._share(ACCOUNT)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -314,7 +314,7 @@
     async def test_what_was_delivered_is_spent_once(self):
         async with _fleet(_broken_stream, _five) as fleet:
             await fleet.ask("/resume/x", **self.headers)
-            book = fleet.gateways[0].keeper.book
+            book = fleet.gateways[0].keeper.budgets
             share = book._shares[T]
             self.assertEqual(share.reserved_tokens, 0)
             self.assertLessEqual(share.spent_tokens, 15)
@@ -358,7 +358,7 @@
         async with _fleet(_five, gateways=2) as fleet:
             await self._settled(fleet)
             fleet.log.down = True
-            here, there = (g.keeper.book for g in fleet.gateways)
+            here, there = (g.keeper.budgets for g in fleet.gateways)
             cost = here.left_tokens(T, 0.0) + there.left_tokens(T, 0.0) // 3
             one = {"X_Token_Count": f"{cost},5", "X_Prompt_Prefix": "aa:6"}
             status, _, _ = await fleet.ask("/stream/x", **one)
@@ -374,7 +374,7 @@
         await fleet.until(
             lambda: (
                 len(fleet.log.topics["keyed.celerytrack-entries"].records) >= wrote + 6
-                and not any(g.keeper.book.row_on_its_way for g in fleet.gateways)
+                and not any(g.keeper.budgets.row_on_its_way for g in fleet.gateways)
             )
         )
 
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -34,10 +34,10 @@
 
 def _make_keeper(gifts: _GenerousPeers, held_elsewhere: int) -> ShareSync:
     keeper = ShareSync(None, ME, "front", "peer", Zone("z"), gifts, 0.0)
-    keeper.book.set_totals({A: TOTAL})
+    keeper.budgets.set_totals({A: TOTAL})
     shares = {A: Row(held_elsewhere, held_elsewhere, 0)}
     keeper._fold(Member(PEER, 1, "f", "p", Zone("z"), SERVING, 0.0))
-    keeper.book.fold(PEER, shares)
+    keeper.budgets.fold(PEER, shares)
     return keeper
 
 
@@ -107,7 +107,7 @@
         keeper = _make_keeper(gifts, TOTAL)
         for name in "bcdef":
             keeper._fold(Member(EntryId(name), 1, "f", "p", Zone("z"), SERVING, 0.0))
-            keeper.book.fold(EntryId(name), {A: Row(0, 0, 0)})
+            keeper.budgets.fold(EntryId(name), {A: Row(0, 0, 0)})
         started_s = time.monotonic()
         reservation = asyncio.run(keeper.reservations.reserve(A, 1_000, urgent=False))
         self.assertIsNone(reservation)
@@ -160,7 +160,7 @@
             name, share = EntryId(f"e{i}"), TOTAL // entries
             member = Member(name, 1, "f", f"p{i}", Zone("z"), SERVING, 0.0)
             keeper._fold(member)
-            keeper.book.fold(name, {A: Row(share, share, 0)})
+            keeper.budgets.fold(name, {A: Row(share, share, 0)})
         reserve = keeper.reservations.reserve
         reservation = [
             asyncio.run(reserve(A, 1_000, urgent=False)) for _ in range(entries)
