--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -106,18 +106,18 @@
     """
     facts, account = exchange.facts, exchange.account
     tokens = facts.input_tokens + facts.output_tokens
-    book = gateway.keeper.budgets
+    book = gateway.share_sync.budgets
     if account is None or not tokens or not book.limited(account):
         return None
     table = gateway.table
     urgent = table is not None and exchange.route.priority <= table.most_urgent
-    held = await gateway.keeper.reservations.reserve(account, tokens, urgent)
+    held = await gateway.share_sync.reservations.reserve(account, tokens, urgent)
     if held is not None:
         return held
     now_s = time.monotonic()
     total_known = gateway.may_deny(now_s)
     raise RefusedError(
-        lacking_tokens(gateway.keeper, account, tokens, total_known, now_s)
+        lacking_tokens(gateway.share_sync, account, tokens, total_known, now_s)
     )
 
 
@@ -151,7 +151,7 @@
     """Charge what the request used, or free it all if it did not run."""
     if held is None:
         return
-    book = gateway.keeper.budgets
+    book = gateway.share_sync.budgets
     if not exchange.may_have_run:
         book.unreserve(held)
         return
--- a/src/celerytrack/gateway/leaving.py
+++ b/src/celerytrack/gateway/leaving.py
@@ -31,7 +31,7 @@
     log_event(_log, Event.PROCESS_STOPPING, in_flight=gateway.in_flight)
     for exchange in gateway.exchanges:
         exchange.end_by(stop.answers_end_s)
-    gateway.keeper.publish_leaving()
+    gateway.share_sync.publish_leaving()
     for _ in range(TOLD_TIMES):
         gateway.tell_leaving()
         await asyncio.sleep(TELL_AGAIN_S)
@@ -41,7 +41,7 @@
     gateway.closing = True
     log_stage(gateway, stop, listeners, "requests over")
     last_row_s = min(stop.closes_s, time.monotonic() + LAST_ROW_MOST_S)
-    await gateway.keeper.publish_final_row(last_row_s)
+    await gateway.share_sync.publish_final_row(last_row_s)
     log_stage(gateway, stop, listeners, "last row")
     await _until(lambda: not listeners.unsent_bytes(), stop.closes_s)
     log_stage(gateway, stop, listeners, "answers sent")
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -107,7 +107,7 @@
         detail=refusal.detail,
         tried=exchange.tried if exchange else [],
         account=exchange.account if exchange else None,
-        rows_age_ms=_age_ms(gateway.keeper.members.read_age_s(time.monotonic())),
+        rows_age_ms=_age_ms(gateway.share_sync.members.read_age_s(time.monotonic())),
         config_age_ms=_age_ms(gateway.config_age_s(time.monotonic())),
         config_version=gateway.table.version if gateway.table else None,
     )
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -55,7 +55,7 @@
 class Reservations:
     """Finds tokens for requests.
 
-    :param gifts: client for requests to other entries.
+    :param peer_client: client for requests to other entries.
     :param rows: publishes the rows that claim tokens.
     """
 
@@ -63,12 +63,12 @@
         self,
         budgets: PrepaidBook,
         members: MemberView,
-        gifts: PeerClient,
+        peer_client: PeerClient,
         rows: RowTask,
     ) -> None:
         self._budgets = budgets
         self._members = members
-        self._gifts = gifts
+        self._peer_client = peer_client
         self._rows = rows
         self._shortfalls: dict[AccountId, tuple[int, float]] = {}
         self._depleted_until_s: LRUCache[tuple[AccountId, EntryId], float]
@@ -133,7 +133,7 @@
                 break
             if member is None:
                 continue
-            given = await self._gifts.request_transfer(
+            given = await self._peer_client.request_transfer(
                 member.peer_address, account, missing
             )
             self._budgets.receive(account, given)
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -113,7 +113,7 @@
     def _start_tasks(self) -> None:
         gateway = self._gateway
         loops = (
-            gateway.keeper.run(),
+            gateway.share_sync.run(),
             gateway.suspects.run(),
             self._follow(make_config_tail(gateway), CONFIG_PAUSE_S, CONFIG_WAIT_S),
             self._follow(make_endpoint_tail(gateway), ENDPOINT_POLL_S, 0.0),
@@ -132,7 +132,7 @@
             return
         settings = _at_its_place(settings, self._gateway.settings)
         self._gateway.settings = settings
-        self._gateway.keeper.members.link_mbps = settings.link_mbps
+        self._gateway.share_sync.members.link_mbps = settings.link_mbps
         log_event(_log, Event.SETTINGS_RELOADED)
 
     # -- listeners ----------------------------------------------------------
@@ -157,8 +157,8 @@
         return web.Response(body=body, content_type="application/json")
 
     async def _peer(self, request: web.BaseRequest) -> web.StreamResponse:
-        keeper = self._gateway.keeper
-        give, known = keeper.reservations.transfer, keeper.budgets.guard.known
+        share_sync = self._gateway.share_sync
+        give, known = share_sync.reservations.transfer, share_sync.budgets.guard.known
         return await handle_peer_request(give, known, request)
 
     async def _metrics(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -168,7 +168,7 @@
 
     def _serving(self) -> list[Member]:
         gateway = self._gateway
-        members = gateway.keeper.members.live(time.monotonic())
+        members = gateway.share_sync.members.live(time.monotonic())
         front = gateway.settings.front_address
         if gateway.ready and front is not None:
             zone = gateway.settings.zone
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -55,7 +55,7 @@
     """Publishes this entry's row and folds those of all entries.
 
     :param entry_id: key of the row; it differs from instance to instance.
-    :param gifts: client for requests to other entries.
+    :param peer_client: client for requests to other entries.
     :param started_s: start of this process on the monotonic clock.
     :param link_mbps: capacity of the instance's link; 0 if unknown.
     :param eras: tracks the era of the log.
@@ -68,7 +68,7 @@
         front_address: str,
         peer_address: str,
         zone: Zone,
-        gifts: PeerClient,
+        peer_client: PeerClient,
         started_s: float,
         link_mbps: float = 0.0,
         eras: EraWatch | None = None,
@@ -79,7 +79,7 @@
         self.state = MemberState.SERVING
         self.started = False
         self._store = store
-        self._gifts = gifts
+        self._peer_client = peer_client
         self._entry_id = entry_id
         self._front_address = front_address
         self._peer_address = peer_address
@@ -104,7 +104,7 @@
         self._rows_made = 0
         self._rows_folded = 0
         self._changed = asyncio.Event()
-        self.reservations = Reservations(self.budgets, self.members, gifts, self)
+        self.reservations = Reservations(self.budgets, self.members, peer_client, self)
 
     @property
     def reachable(self) -> bool:
@@ -211,7 +211,9 @@
         if era is None or (last is not None and last.era in (None, era)):
             return
         others = self.members.live(time.monotonic())[:MAX_RECALL_PEERS]
-        asked = (self._gifts.fetch_row(m.peer_address, self._entry_id) for m in others)
+        asked = (
+            self._peer_client.fetch_row(m.peer_address, self._entry_id) for m in others
+        )
         for row in await asyncio.gather(*asked):
             self.budgets.recall(row)
 
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -72,14 +72,14 @@
         self.rng = random.Random(self.boot_id)
         self.eras = EraWatch()
         self.store = HedgedStore(StoreClient(settings.store_address, self.eras))
-        self.gifts = PeerClient()
-        self.keeper = ShareSync(
+        self.peer_client = PeerClient()
+        self.share_sync = ShareSync(
             self.store,
             self.entry_id,
             settings.front_address or "",
             settings.peer_address,
             settings.zone,
-            self.gifts,
+            self.peer_client,
             started_s,
             settings.link_mbps,
             self.eras,
@@ -130,7 +130,7 @@
             and self.table is not None
             and self.endpoints_known
             and self.suspects.started
-            and self.keeper.started
+            and self.share_sync.started
         )
 
     def config_age_s(self, now_s: float) -> float:
@@ -159,7 +159,7 @@
 
     def _on_era_change(self, change: EraChange) -> None:
         self.telemetry.store_restores.inc()
-        if not self.keeper.started:
+        if not self.share_sync.started:
             # What this process has read so far may be from the snapshot.
             self.config_known_at_s = float("-inf")
         self.endpoints.restored()
@@ -184,7 +184,7 @@
         self._log_shut_out(found)
 
     def _send_findings(self, findings: Findings) -> None:
-        members = self.keeper.members.live(time.monotonic())
+        members = self.share_sync.members.live(time.monotonic())
         self.suspects.entries = len(members) + 1
         addresses = [member.peer_address for member in members]
         self.peer_messenger.send_findings(addresses, findings)
@@ -220,14 +220,14 @@
             case LongPromptMessage(endpoint_id, work_s):
                 self.endpoints.note(endpoint_id, work_s, time.monotonic())
             case LeavingMessage(entry_id, started_s):
-                self.keeper.members.leaving(entry_id, started_s)
+                self.share_sync.members.leaving(entry_id, started_s)
                 log_event(_log, Event.PEER_LEAVING, entry=entry_id)
             case Findings():
                 self._on_findings(message)
 
     def tell_leaving(self) -> None:
         """Announce the planned stop to the other entries, which send clients here."""
-        members = self.keeper.members.live(time.monotonic())
+        members = self.share_sync.members.live(time.monotonic())
         addresses = [member.peer_address for member in members]
         self.peer_messenger.send_leaving(
             addresses, LeavingMessage(self.entry_id, self.started_s)
@@ -242,7 +242,7 @@
         """
         if work_s < MIN_PROMPT_WORK_S:
             return
-        division = self.keeper.members.division(time.monotonic())
+        division = self.share_sync.members.division(time.monotonic())
         addresses = [member.peer_address for member in division.sharers]
         self.peer_messenger.send_long_prompt(
             addresses, LongPromptMessage(endpoint_id, work_s)
@@ -250,14 +250,14 @@
 
     def load_times(self, now_s: float) -> float:
         """Load of the fleet as a multiple of this entry's load."""
-        return self.keeper.members.division(now_s).load_times
+        return self.share_sync.members.division(now_s).load_times
 
     def retry_budget(self, service: ServiceName, now_s: float) -> RetryBudget:
         """The retry budget for ``service``."""
         budget = self._retry_budgets.get(service)
         if budget is None:
             share = RETRY_SHARE * self.settings.retry_slack / 2
-            burst = max(1.0, share / self.keeper.members.division(now_s).allowances)
+            burst = max(1.0, share / self.share_sync.members.division(now_s).allowances)
             budget = RetryBudget(self.settings.retry_ratio * RETRY_SHARE, burst)
             self._retry_budgets[service] = budget
         return budget
@@ -267,5 +267,5 @@
         await self.ended_endpoints.close()
         await self.connections.close()
         self.peer_messenger.close()
-        await self.gifts.close()
+        await self.peer_client.close()
         await self.store.close()
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -52,7 +52,7 @@
         log_event(_log, Event.CONFIG_IGNORED_STALE, version=table.version)
         return
     gateway.table = table
-    gateway.keeper.budgets.set_totals(
+    gateway.share_sync.budgets.set_totals(
         {
             a.account_id: a.prepaid_tokens
             for a in table.accounts
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -167,16 +167,16 @@
     async def stop(self, i: int, down_s: float) -> None:
         """A planned stop, and another start: what it has not spent comes back."""
         instance = self.instances[i]
-        keeper = instance.gateway.keeper
+        share_sync = instance.gateway.share_sync
         if not instance.serves:
             return
-        keeper.publish_leaving()
+        share_sync.publish_leaving()
         await self.run(0.5)
         instance.closed = True
         await self.run(1.1)
-        if instance.gateway.keeper is not keeper or not instance.serves:
+        if instance.gateway.share_sync is not share_sync or not instance.serves:
             return
-        last = keeper.publish_final_row(instance.now_s() + LAST_ROW_S)
+        last = share_sync.publish_final_row(instance.now_s() + LAST_ROW_S)
         await on_instance(instance.clock, last)
         await self.kill(i, False, down_s)
 
@@ -224,7 +224,7 @@
         for instance in self.instances:
             gateway = instance.gateway
             assert gateway.table.version == self.version, gateway.table.version
-            assert not gateway.keeper.budgets.guard.holding
+            assert not gateway.share_sync.budgets.guard.holding
             for name, replica in self.replicas.items():
                 assert self._usable(instance, name) is self._serves(replica), name
             self._check_rows(instance)
@@ -257,7 +257,7 @@
         for other in self.instances:
             if other is instance:
                 continue
-            member = instance.gateway.keeper.members.member(other.entry_id)
+            member = instance.gateway.share_sync.members.member(other.entry_id)
             assert member is not None
             assert other.now_s() - member.made_s < 1.5, "an old row of a live entry"
         assert len(newest) >= ENTRIES
@@ -270,13 +270,13 @@
         """Entry to entry: a gift, which may be lost on its way."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
-        keeper = other.gateway.keeper
-        if not other.up or not keeper.started:
+        share_sync = other.gateway.share_sync
+        if not other.up or not share_sync.started:
             return 0
         given = await on_instance(
-            other.clock, keeper.reservations.transfer(account, tokens)
+            other.clock, share_sync.reservations.transfer(account, tokens)
         )
-        alive = other.up and other.gateway.keeper is keeper
+        alive = other.up and other.gateway.share_sync is share_sync
         return given if alive and not self.gifts_lost else 0
 
     async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
@@ -285,7 +285,7 @@
         await asyncio.sleep(0.001)
         if not other.up or self.gifts_lost:
             return {}
-        return other.gateway.keeper.budgets.guard.known(me)
+        return other.gateway.share_sync.budgets.guard.known(me)
 
     async def close(self) -> None:
         """Gifts need no connections here."""
@@ -307,7 +307,9 @@
         gateway = instance.gateway
         if not instance.serves or instance.closed or gateway.table is None:
             return
-        reserving = gateway.keeper.reservations.reserve(ACCOUNT, tokens, urgent=False)
+        reserving = gateway.share_sync.reservations.reserve(
+            ACCOUNT, tokens, urgent=False
+        )
         held = await on_instance(instance.clock, reserving)
         if held is None or not instance.up or instance.gateway is not gateway:
             return
@@ -316,7 +318,7 @@
         self.running -= tokens
         # Killed meanwhile, it has delivered what it has, and told nobody.
         self.used += used
-        gateway.keeper.budgets.commit(held, used, instance.now_s())
+        gateway.share_sync.budgets.commit(held, used, instance.now_s())
 
     def _operator_writes(self, version: int) -> None:
         self.log.put(CONFIG_TOPIC, CONFIG_KEY, config(version, prepaid=TOTAL))
--- a/tests/restored_instance.py
+++ b/tests/restored_instance.py
@@ -23,7 +23,7 @@
 class Instance:
     """One instance, its clock and the entry process on it.
 
-    :param gifts: asks the other entries for tokens.
+    :param peer_client: asks the other entries for tokens.
     :param tells: whether the log's answers tell their era.
     :ivar aware_s: until when a process that started after the log was back, and before
         all was written again, may deny what it read of the copy.
@@ -36,7 +36,7 @@
         self,
         number: int,
         log: RestoredLog,
-        gifts: object,
+        peer_client: object,
         rng: random.Random,
         tells: bool,
     ) -> None:
@@ -51,7 +51,7 @@
         self.version = 0
         self.over: dict[str, int] = {}
         self._log = log
-        self._gifts = gifts
+        self._peer_client = peer_client
         self._rng = rng
         self._tells = tells
         self._tasks: list[asyncio.Task] = []
@@ -71,7 +71,9 @@
         loop_s = asyncio.get_running_loop().time()
         with (
             mock.patch("celerytrack.gateway.state.StoreClient", make_store),
-            mock.patch("celerytrack.gateway.state.PeerClient", lambda: self._gifts),
+            mock.patch(
+                "celerytrack.gateway.state.PeerClient", lambda: self._peer_client
+            ),
         ):
             self.gateway = Gateway(
                 ProcessSettings(
@@ -100,7 +102,7 @@
         self._tasks = [
             on_instance(self.clock, task)
             for task in (
-                self.gateway.keeper.run(),
+                self.gateway.share_sync.run(),
                 self._follow(make_config_tail(self.gateway), CONFIG_PAUSE_S),
                 self._follow(make_endpoint_tail(self.gateway), ENDPOINT_POLL_S),
             )
@@ -108,7 +110,7 @@
 
     async def take_over(self) -> None:
         """Wait until its process serves."""
-        while not self.gateway.keeper.started:
+        while not self.gateway.share_sync.started:
             await asyncio.sleep(0.01)
         rewritten_s = self._log.rewritten_s
         unaware = rewritten_s >= self._started_s
@@ -142,7 +144,7 @@
     @property
     def serves(self) -> bool:
         """Whether its process is up and has taken over."""
-        return self.up and self.gateway.keeper.started and not self.fenced
+        return self.up and self.gateway.share_sync.started and not self.fenced
 
     def now_s(self) -> float:
         """Its steady clock."""
@@ -150,4 +152,4 @@
 
     def share(self):
         """Its part of the account."""
-        return self.gateway.keeper.budgets._share(ACCOUNT)
+        return self.gateway.share_sync.budgets._share(ACCOUNT)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -137,7 +137,7 @@
     async def test_the_refusal_comes_at_once_says_when_and_costs_nothing(self) -> None:
         async with Fleet(gateways=1) as fleet, CrashRun(fleet, 8, seed=8) as run:
             await _convict(fleet, run)
-            book = fleet.gateways[0].keeper.budgets
+            book = fleet.gateways[0].share_sync.budgets
             left = book.left_tokens(AccountId("t"), time.monotonic())
             began_s = time.monotonic()
             status, headers, body = await fleet.ask(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -314,7 +314,7 @@
     async def test_what_was_delivered_is_spent_once(self):
         async with _fleet(_broken_stream, _five) as fleet:
             await fleet.ask("/resume/x", **self.headers)
-            book = fleet.gateways[0].keeper.budgets
+            book = fleet.gateways[0].share_sync.budgets
             share = book._shares[T]
             self.assertEqual(share.reserved_tokens, 0)
             self.assertLessEqual(share.spent_tokens, 15)
@@ -358,7 +358,7 @@
         async with _fleet(_five, gateways=2) as fleet:
             await self._settled(fleet)
             fleet.log.down = True
-            here, there = (g.keeper.budgets for g in fleet.gateways)
+            here, there = (g.share_sync.budgets for g in fleet.gateways)
             cost = here.left_tokens(T, 0.0) + there.left_tokens(T, 0.0) // 3
             one = {"X_Token_Count": f"{cost},5", "X_Prompt_Prefix": "aa:6"}
             status, _, _ = await fleet.ask("/stream/x", **one)
@@ -368,13 +368,15 @@
         """Wait until every entry has written rows that know of the other: the
         first to start claims as if it were alone, and lowers that."""
         await fleet.until(
-            lambda: all(len(g.keeper.members.members()) == 2 for g in fleet.gateways)
+            lambda: all(
+                len(g.share_sync.members.members()) == 2 for g in fleet.gateways
+            )
         )
         wrote = len(fleet.log.topics["keyed.celerytrack-entries"].records)
         await fleet.until(
             lambda: (
                 len(fleet.log.topics["keyed.celerytrack-entries"].records) >= wrote + 6
-                and not any(g.keeper.budgets.row_on_its_way for g in fleet.gateways)
+                and not any(g.share_sync.budgets.row_on_its_way for g in fleet.gateways)
             )
         )
 
@@ -399,7 +401,7 @@
             )
 
         async with _fleet(_good, config=config(prepaid=100)) as fleet:
-            reservations = fleet.gateways[0].keeper.reservations
+            reservations = fleet.gateways[0].share_sync.reservations
             with mock.patch.object(reservations, "reserve", longest_wait):
                 began_s = time.monotonic()
                 asked = fleet.ask("/plain/x", X_Token_Count="1,1", X_Deadline_Ms="200")
@@ -557,7 +559,7 @@
 
         async with _fleet(slow, gateways=2) as fleet:
             leaving, other = fleet.gateways
-            await fleet.until(lambda: len(other.keeper.members.live(1e9)) == 1)
+            await fleet.until(lambda: len(other.share_sync.members.live(1e9)) == 1)
             asked = asyncio.create_task(fleet.ask("/once/x"))
             await fleet.until(lambda: _runs(fleet) == 1)
             fleet.servers[0].stop()
@@ -566,7 +568,7 @@
             late = await fleet.ask("/plain/late", "r2")
             self.assertEqual((late[0], late[1].get("Connection")), (200, "close"))
             await fleet.until(
-                lambda: not other.keeper.members.live(1e9),
+                lambda: not other.share_sync.members.live(1e9),
             )
             address = other.settings.directory_address
             url = f"http://{address}/resolve?name={HOST}&zone=z"
@@ -582,7 +584,7 @@
                 # Somewhere between two beats.
                 await asyncio.sleep(0.37)
                 known = len(rows)
-                fleet.gateways[0].keeper.publish_leaving()
+                fleet.gateways[0].share_sync.publish_leaving()
                 await asyncio.sleep(AT_ONCE_S)
                 self.assertGreater(len(rows), known)
 
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -297,7 +297,7 @@
     async def _told_directly(self) -> None:
         good = Endpoint("i-1", _large_answer)
         async with Fleet(good, gateways=2) as fleet:
-            views = [gateway.keeper.members for gateway in fleet.gateways]
+            views = [gateway.share_sync.members for gateway in fleet.gateways]
             await fleet.until(lambda: all(len(v.live(1e9)) == 1 for v in views))
             fleet.log.down = True
             await asyncio.sleep(0.5)
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -22,7 +22,7 @@
         backup, and other entries claimed again what its predecessor had claimed."""
         async with Fleet(gateways=2) as fleet:
             first, second = fleet.gateways
-            known = second.keeper.budgets.guard.known
+            known = second.share_sync.budgets.guard.known
             await fleet.until(lambda: T in known(first.entry_id))
             client = PeerClient()
             self.addAsyncCleanup(client.close)
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -147,7 +147,7 @@
         async with Fleet(Endpoint("a", _answer), gateways=3) as fleet:
             backup = fleet.log.copy()
             await asyncio.sleep(4.0)
-            books = [g.keeper.budgets for g in fleet.gateways]
+            books = [g.share_sync.budgets for g in fleet.gateways]
             accepted = [b._share(ACCOUNT).accepted_tokens for b in books]
             for _ in range(times):
                 await fleet.log.restore_after(backup, 0.3)
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -32,13 +32,13 @@
         return tokens
 
 
-def _make_keeper(gifts: _GenerousPeers, held_elsewhere: int) -> ShareSync:
-    keeper = ShareSync(None, ME, "front", "peer", Zone("z"), gifts, 0.0)
-    keeper.budgets.set_totals({A: TOTAL})
+def _make_share_sync(peers: _GenerousPeers, held_elsewhere: int) -> ShareSync:
+    share_sync = ShareSync(None, ME, "front", "peer", Zone("z"), peers, 0.0)
+    share_sync.budgets.set_totals({A: TOTAL})
     shares = {A: Row(held_elsewhere, held_elsewhere, 0)}
-    keeper._fold(Member(PEER, 1, "f", "p", Zone("z"), SERVING, 0.0))
-    keeper.budgets.fold(PEER, shares)
-    return keeper
+    share_sync._fold(Member(PEER, 1, "f", "p", Zone("z"), SERVING, 0.0))
+    share_sync.budgets.fold(PEER, shares)
+    return share_sync
 
 
 class AskPeersAtOnceTest(unittest.TestCase):
@@ -54,12 +54,14 @@
         Nearly all of an account was claimed, most of it by other entries. A request
         waited 60 ms for a row that could claim nothing before those were asked.
         """
-        gifts = _GenerousPeers()
-        keeper = _make_keeper(gifts, held)
+        peers = _GenerousPeers()
+        share_sync = _make_share_sync(peers, held)
         started_s = time.monotonic()
-        reservation = asyncio.run(keeper.reservations.reserve(A, 1_000, urgent=False))
+        reservation = asyncio.run(
+            share_sync.reservations.reserve(A, 1_000, urgent=False)
+        )
         self.assertIsNotNone(reservation)
-        waited_s = gifts.asked_s[0] - started_s
+        waited_s = peers.asked_s[0] - started_s
         self.assertGreaterEqual(waited_s, least_s)
         self.assertLess(waited_s, most_s)
 
@@ -103,24 +105,28 @@
         each wrote a row before it declined, and then the request waited for rows until
         its limit: no step checked whether the next one could find tokens.
         """
-        gifts = _SlowPeers()
-        keeper = _make_keeper(gifts, TOTAL)
+        peers = _SlowPeers()
+        share_sync = _make_share_sync(peers, TOTAL)
         for name in "bcdef":
-            keeper._fold(Member(EntryId(name), 1, "f", "p", Zone("z"), SERVING, 0.0))
-            keeper.budgets.fold(EntryId(name), {A: Row(0, 0, 0)})
+            share_sync._fold(
+                Member(EntryId(name), 1, "f", "p", Zone("z"), SERVING, 0.0)
+            )
+            share_sync.budgets.fold(EntryId(name), {A: Row(0, 0, 0)})
         started_s = time.monotonic()
-        reservation = asyncio.run(keeper.reservations.reserve(A, 1_000, urgent=False))
+        reservation = asyncio.run(
+            share_sync.reservations.reserve(A, 1_000, urgent=False)
+        )
         self.assertIsNone(reservation)
         self.assertLess(time.monotonic() - started_s, 0.2)
-        asked = len(gifts.asked_s)
+        asked = len(peers.asked_s)
         self.assertLess(asked, 6)
-        asyncio.run(keeper.reservations.reserve(A, 1_000, urgent=False))
-        self.assertEqual(len(gifts.asked_s), asked)
+        asyncio.run(share_sync.reservations.reserve(A, 1_000, urgent=False))
+        self.assertEqual(len(peers.asked_s), asked)
 
     def test_peer_without_free_tokens_answers_at_once(self):
-        keeper = _make_keeper(_GenerousPeers(), TOTAL)
+        share_sync = _make_share_sync(_GenerousPeers(), TOTAL)
         started_s = time.monotonic()
-        given = asyncio.run(keeper.reservations.transfer(A, 1_000))
+        given = asyncio.run(share_sync.reservations.transfer(A, 1_000))
         self.assertEqual(given, 0)
         self.assertLess(time.monotonic() - started_s, ROW_WAIT_S / 2)
 
@@ -153,20 +159,20 @@
         8.6 s after the last read of the rows.
         """
         entries = 12
-        gifts = _FinitePeers({f"p{i}": 1_000 for i in range(entries)})
-        keeper = _make_keeper(gifts, 0)
-        keeper._tail.reachable = False
+        peers = _FinitePeers({f"p{i}": 1_000 for i in range(entries)})
+        share_sync = _make_share_sync(peers, 0)
+        share_sync._tail.reachable = False
         for i in range(entries):
             name, share = EntryId(f"e{i}"), TOTAL // entries
             member = Member(name, 1, "f", f"p{i}", Zone("z"), SERVING, 0.0)
-            keeper._fold(member)
-            keeper.budgets.fold(name, {A: Row(share, share, 0)})
-        reserve = keeper.reservations.reserve
+            share_sync._fold(member)
+            share_sync.budgets.fold(name, {A: Row(share, share, 0)})
+        reserve = share_sync.reservations.reserve
         reservation = [
             asyncio.run(reserve(A, 1_000, urgent=False)) for _ in range(entries)
         ]
         self.assertNotIn(None, reservation)
-        asked = len(gifts.asked_s)
+        asked = len(peers.asked_s)
         self.assertIsNone(asyncio.run(reserve(A, 1_000, urgent=False)))
         self.assertIsNone(asyncio.run(reserve(A, 1_000, urgent=False)))
-        self.assertLess(len(gifts.asked_s), asked + 2 * entries)
+        self.assertLess(len(peers.asked_s), asked + 2 * entries)
