--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -40,7 +40,7 @@
 
     :raises RefusedError: saying what is wrong with the request.
     """
-    table = gateway.table
+    table = gateway.routing_table
     if table is None or not gateway.endpoints_known or not gateway.suspects.started:
         detail = "no configuration read yet"
         raise RefusedError(did_not_run(Reason.NO_CONFIG, SHORTLY_S, detail))
@@ -50,7 +50,7 @@
         raise RefusedError(did_not_run(Reason.BAD_REQUEST, None, str(exc))) from None
     body = await _read_body(request, table)
     # What is in force when the whole request is read decides.
-    table = gateway.table or table
+    table = gateway.routing_table or table
     route = table.match(facts.host, request.raw_path.split("?", 1)[0])
     if route is None:
         raise RefusedError(_denied(gateway, Reason.NO_ROUTE, "no such route"))
@@ -109,7 +109,7 @@
     book = gateway.share_sync.budgets
     if account is None or not tokens or not book.limited(account):
         return None
-    table = gateway.table
+    table = gateway.routing_table
     urgent = table is not None and exchange.route.priority <= table.most_urgent
     held = await gateway.share_sync.reservations.reserve(account, tokens, urgent)
     if held is not None:
@@ -155,8 +155,8 @@
     if not exchange.may_have_run:
         book.unreserve(held)
         return
-    assert gateway.table is not None
-    service = gateway.table.services.get(exchange.service)
+    assert gateway.routing_table is not None
+    service = gateway.routing_table.services.get(exchange.service)
     per_event = service.event_tokens if service else 1
     # One event more than was relayed: it may have been on its way to the
     # caller when the stream ended.
--- a/src/celerytrack/gateway/leaving.py
+++ b/src/celerytrack/gateway/leaving.py
@@ -33,7 +33,7 @@
         exchange.end_by(stop.answers_end_s)
     gateway.share_sync.publish_leaving()
     for _ in range(TOLD_TIMES):
-        gateway.tell_leaving()
+        gateway.announce_leaving()
         await asyncio.sleep(TELL_AGAIN_S)
     await asyncio.sleep(stop.serves_until_s - time.monotonic())
     log_stage(gateway, stop, listeners, "callers gone")
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -109,7 +109,7 @@
         account=exchange.account if exchange else None,
         rows_age_ms=_age_ms(gateway.share_sync.members.read_age_s(time.monotonic())),
         config_age_ms=_age_ms(gateway.config_age_s(time.monotonic())),
-        config_version=gateway.table.version if gateway.table else None,
+        config_version=gateway.routing_table.version if gateway.routing_table else None,
     )
     count(gateway, exchange, refusal.reason.value)
     return refusal_response(refusal, gateway.leaving)
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -197,7 +197,7 @@
 
 async def _one_attempt(gateway: Gateway, exchange: Exchange) -> AttemptResult:
     now_s = time.monotonic()
-    if gateway.endpoints_late(now_s):
+    if gateway.is_endpoint_view_stale(now_s):
         return Failure(_not_placed("what is known of endpoints is too old"))
     standing = standing_of(gateway, exchange, now_s)
     if standing is Standing.SHUT_OUT:
@@ -234,11 +234,11 @@
     gateway: Gateway, exchange: Exchange, chosen: Choice
 ) -> AttemptResult:
     endpoint_id = chosen.endpoint.endpoint_id
-    gateway.suspects_at[endpoint_id] += 1
+    gateway.suspects_in_flight[endpoint_id] += 1
     try:
         return await _send(gateway, exchange, chosen)
     finally:
-        gateway.suspects_at[endpoint_id] -= 1
+        gateway.suspects_in_flight[endpoint_id] -= 1
 
 
 async def _send(gateway: Gateway, exchange: Exchange, chosen: Choice) -> AttemptResult:
@@ -250,7 +250,7 @@
     exchange.may_have_run = True
     exchange.choice = chosen
     sent = book.send(chosen, exchange.need, now_s)
-    gateway.tell_prompt(endpoint.endpoint_id, chosen.work_s)
+    gateway.announce_prompt(endpoint.endpoint_id, chosen.work_s)
     try:
         result = await attempt(gateway, exchange, endpoint, sent)
     finally:
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -162,7 +162,7 @@
         return await handle_peer_request(give, known, request)
 
     async def _metrics(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._gateway.count_suspects()
+        self._gateway.update_suspect_metrics()
         body = self._gateway.telemetry.render()
         return web.Response(body=body, content_type="text/plain")
 
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -57,11 +57,11 @@
     :ivar config_known_at_s: time on the monotonic clock up to which every confirmed
         configuration is known here.
     :ivar endpoints_known_at_s: the same for the endpoints' registrations.
-    :ivar endpoints_took_s: duration of the last read of the registrations.
+    :ivar endpoints_read_time_s: duration of the last read of the registrations.
     :ivar endpoints_reachable: whether the store answered that read.
     :ivar suspects: tracks which requests crash endpoints.
-    :ivar suspects_at: number of suspected requests that this entry has in flight at
-        each endpoint.
+    :ivar suspects_in_flight: number of suspected requests that this entry has in
+        flight at each endpoint.
     """
 
     def __init__(self, settings: ProcessSettings, started_s: float) -> None:
@@ -87,10 +87,10 @@
         self.endpoints = EndpointBook(settings.zone, self.rng)
         self.endpoints_known = False
         self.peer_messenger = PeerMessenger(self._on_peer_message)
-        self.table: RoutingTable | None = None
+        self.routing_table: RoutingTable | None = None
         self.config_known_at_s = float("-inf")
         self.endpoints_known_at_s = float("-inf")
-        self.endpoints_took_s = 0.0
+        self.endpoints_read_time_s = 0.0
         self.endpoints_reachable = True
         self.telemetry = Telemetry()
         self.eras.on_change(self._on_era_change)
@@ -112,7 +112,7 @@
             self._send_findings,
             self._log_shut_out,
         )
-        self.suspects_at: collections.Counter[EndpointId] = collections.Counter()
+        self.suspects_in_flight: collections.Counter[EndpointId] = collections.Counter()
         self._logged_shut_out: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
             MOST_SUSPECTS
         )
@@ -127,7 +127,7 @@
         """Whether clients should be sent here."""
         return (
             not self.leaving
-            and self.table is not None
+            and self.routing_table is not None
             and self.endpoints_known
             and self.suspects.started
             and self.share_sync.started
@@ -145,7 +145,7 @@
         """
         return self.config_age_s(now_s) < self.settings.config_in_force_s
 
-    def endpoints_late(self, now_s: float) -> bool:
+    def is_endpoint_view_stale(self, now_s: float) -> bool:
         """Whether the log answers, but too slowly to learn in time that an endpoint
         leaves.
 
@@ -154,7 +154,7 @@
         again. While the log is unreachable, the known registrations stay valid.
         """
         age_s = now_s - self.endpoints_known_at_s
-        arrives_s = age_s + self.endpoints_took_s
+        arrives_s = age_s + self.endpoints_read_time_s
         return self.endpoints_reachable and arrives_s > self.settings.leaving_known_s
 
     def _on_era_change(self, change: EraChange) -> None:
@@ -208,7 +208,7 @@
             self._logged_shut_out[fingerprint] = endings
             log_shut_out(_log, suspect)
 
-    def count_suspects(self) -> None:
+    def update_suspect_metrics(self) -> None:
         """Set the gauges of requests under suspicion."""
         suspects = self.suspects.book.suspects(time.monotonic())
         counts = collections.Counter(suspect.standing for suspect in suspects)
@@ -225,7 +225,7 @@
             case Findings():
                 self._on_findings(message)
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Announce the planned stop to the other entries, which send clients here."""
         members = self.share_sync.members.live(time.monotonic())
         addresses = [member.peer_address for member in members]
@@ -233,7 +233,7 @@
             addresses, LeavingMessage(self.entry_id, self.started_s)
         )
 
-    def tell_prompt(self, endpoint_id: EndpointId, work_s: float) -> None:
+    def announce_prompt(self, endpoint_id: EndpointId, work_s: float) -> None:
         """Announce a long prompt sent to an endpoint to the other entries that have
         clients.
 
@@ -248,7 +248,7 @@
             addresses, LongPromptMessage(endpoint_id, work_s)
         )
 
-    def load_times(self, now_s: float) -> float:
+    def fleet_load_ratio(self, now_s: float) -> float:
         """Load of the fleet as a multiple of this entry's load."""
         return self.share_sync.members.division(now_s).load_times
 
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -67,18 +67,18 @@
         return set()
     apart = book.endpoints_on_trial(now_s)
     if standing is not Standing.CLEAR:
-        apart.update(gateway.suspects_at.elements())
+        apart.update(gateway.suspects_in_flight.elements())
     return apart
 
 
 def _choose(
     gateway: Gateway, exchange: Exchange, avoid: list[EndpointId], now_s: float
 ) -> Choice | None:
-    table = gateway.table
+    table = gateway.routing_table
     assert table is not None
     service = table.services.get(exchange.service)
     connections = service.max_connections if service else 1
-    load_times = gateway.load_times(now_s)
+    load_times = gateway.fleet_load_ratio(now_s)
     return gateway.endpoints.choose(
         exchange.need, load_times, connections, avoid, now_s
     )
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -46,12 +46,12 @@
     except ConfigError as exc:
         log_event(_log, Event.CONFIG_REJECTED, logging.ERROR, detail=str(exc))
         return
-    known = gateway.table
+    known = gateway.routing_table
     if known is not None and table.version <= known.version:
         # A read that lags behind must not reinstate an older version.
         log_event(_log, Event.CONFIG_IGNORED_STALE, version=table.version)
         return
-    gateway.table = table
+    gateway.routing_table = table
     gateway.share_sync.budgets.set_totals(
         {
             a.account_id: a.prepaid_tokens
@@ -128,7 +128,7 @@
         for endpoint_id in gateway.endpoints.restores.take_gone(time.monotonic()):
             drop(endpoint_id)
         gateway.endpoints_known_at_s = at_s
-        gateway.endpoints_took_s = time.monotonic() - at_s
+        gateway.endpoints_read_time_s = time.monotonic() - at_s
 
     def contact(reachable: bool) -> None:
         gateway.endpoints_reachable = reachable
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -223,14 +223,16 @@
         """What holds once nothing is wrong any more: nothing was missed."""
         for instance in self.instances:
             gateway = instance.gateway
-            assert gateway.table.version == self.version, gateway.table.version
+            assert gateway.routing_table.version == self.version, (
+                gateway.routing_table.version
+            )
             assert not gateway.share_sync.budgets.guard.holding
             for name, replica in self.replicas.items():
                 assert self._usable(instance, name) is self._serves(replica), name
             self._check_rows(instance)
 
     def _check_version(self, instance: Instance) -> None:
-        table = instance.gateway.table
+        table = instance.gateway.routing_table
         if table is None:
             return
         assert table.version >= instance.version, "an older version is in force"
@@ -305,7 +307,7 @@
         self, instance: Instance, tokens: int, used: int, takes_s: float
     ) -> None:
         gateway = instance.gateway
-        if not instance.serves or instance.closed or gateway.table is None:
+        if not instance.serves or instance.closed or gateway.routing_table is None:
             return
         reserving = gateway.share_sync.reservations.reserve(
             ACCOUNT, tokens, urgent=False
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -277,7 +277,10 @@
             fleet.log.put(ENDPOINTS_TOPIC, dark.name, dark.registration())
             gateway = fleet.gateways[0]
             await fleet.until(
-                lambda: gateway.table.version == 2 and len(gateway.endpoints.ids()) == 2
+                lambda: (
+                    gateway.routing_table.version == 2
+                    and len(gateway.endpoints.ids()) == 2
+                )
             )
             for i in range(6):
                 status, _, _ = await fleet.ask("/once/x", f"r{i}")
@@ -415,12 +418,12 @@
         async with _fleet(_good) as fleet:
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(7, pathPrefix="/new/"))
             gateway = fleet.gateways[0]
-            await fleet.until(lambda: gateway.table.version == 7, 2.0)
+            await fleet.until(lambda: gateway.routing_table.version == 7, 2.0)
             self.assertEqual((await fleet.ask("/new/x"))[0], 200)
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(3))
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, b"no configuration")
             await asyncio.sleep(0.3)
-            self.assertEqual(gateway.table.version, 7)
+            self.assertEqual(gateway.routing_table.version, 7)
 
     async def test_a_read_that_is_never_answered_hides_no_change(self):
         """Symptom: 404 for a route that had been in force for four seconds.
@@ -435,7 +438,7 @@
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(5))
             await asyncio.sleep(0.1)
             fleet.log.deaf = False
-            await fleet.until(lambda: fleet.gateways[0].table.version == 5, 3.5)
+            await fleet.until(lambda: fleet.gateways[0].routing_table.version == 5, 3.5)
 
     async def test_a_lost_history_loses_nothing(self):
         async with _fleet(_good) as fleet:
@@ -446,7 +449,7 @@
             for topic in list(fleet.log.topics):
                 fleet.log.forget_history(topic)
             fleet.log.down = False
-            await fleet.until(lambda: fleet.gateways[0].table.version == 9, 4.0)
+            await fleet.until(lambda: fleet.gateways[0].routing_table.version == 9, 4.0)
             self.assertEqual((await fleet.ask("/plain/x"))[0], 200)
 
     async def test_a_leaving_endpoint_gets_no_new_work(self):
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -178,7 +178,7 @@
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway, log = fleet.gateways[0], fleet.log
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(2))
-            await fleet.until(lambda: gateway.table.version == 2)
+            await fleet.until(lambda: gateway.routing_table.version == 2)
             backup = log.copy()
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(3, idle_routes=1))
             restoring = asyncio.create_task(
@@ -190,20 +190,20 @@
                 status, _, _ = await fleet.ask("/idle-00000/x")
                 if era > 1:
                     statuses.add(status)
-                self.assertEqual(gateway.table.version, 2)
+                self.assertEqual(gateway.routing_table.version, 2)
                 await asyncio.sleep(0.1)
             self.assertEqual(statuses, {503})
-            await fleet.until(lambda: gateway.table.version == 3, 2.0)
+            await fleet.until(lambda: gateway.routing_table.version == 3, 2.0)
 
     async def test_version_in_force_is_kept_until_it_is_republished(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway, log = fleet.gateways[0], fleet.log
             backup = log.copy()
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(2))
-            await fleet.until(lambda: gateway.table.version == 2)
+            await fleet.until(lambda: gateway.routing_table.version == 2)
             restoring = asyncio.create_task(log.restore_after(backup, 0.2, 1.0))
             while not restoring.done():
-                self.assertEqual(gateway.table.version, 2)
+                self.assertEqual(gateway.routing_table.version, 2)
                 await asyncio.sleep(0.05)
 
     async def test_departed_endpoint_stays_gone_and_missing_one_is_kept(self):
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -80,7 +80,7 @@
                 fleet.log.put(ENTRIES_TOPIC, f"entry-{i % 64}", _row(i))
             fleet.log.down = False
             gateway = fleet.gateways[0]
-            await fleet.until(lambda: gateway.table.version == 29, IN_FORCE_S)
+            await fleet.until(lambda: gateway.routing_table.version == 29, IN_FORCE_S)
 
 
 class ConfigStormTest(unittest.IsolatedAsyncioTestCase):
@@ -97,7 +97,7 @@
 
             async def watch():
                 while True:
-                    version = gateway.table.version
+                    version = gateway.routing_table.version
                     for v in range(1, version + 1):
                         in_force_s.setdefault(v, time.monotonic())
                     await asyncio.sleep(0.01)
@@ -309,15 +309,15 @@
                 (0.6, LEAVING_KNOWN_S - 0.7, False),
                 (0.6, LEAVING_KNOWN_S - 0.5, True),
             ):
-                gateway.endpoints_took_s = took_s
+                gateway.endpoints_read_time_s = took_s
                 gateway.endpoints_reachable = True
-                self.assertIs(gateway.endpoints_late(known_at_s + age_s), late)
+                self.assertIs(gateway.is_endpoint_view_stale(known_at_s + age_s), late)
 
     async def test_a_read_tells_how_long_the_link_takes(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway = fleet.gateways[0]
-            self.assertLess(gateway.endpoints_took_s, 0.3)
+            self.assertLess(gateway.endpoints_read_time_s, 0.3)
             fleet.log.link.bytes_per_s = 10_000.0
             other = fleet.endpoints[0].registration(service="other" * 600)
             fleet.log.put(ENDPOINTS_TOPIC, "other", other)
-            await fleet.until(lambda: gateway.endpoints_took_s > 0.25)
+            await fleet.until(lambda: gateway.endpoints_read_time_s > 0.25)
