--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -11,7 +11,7 @@
 import time
 
 from aiohttp import web
-from tests.gateway_fleet import SEAL, Endpoint, Fleet
+from tests.gateway_fleet import SEAL_HEADERS, Endpoint, Fleet
 
 from celerytrack.fingerprint import Fingerprint
 
@@ -20,7 +20,7 @@
 
 async def _good(request: web.BaseRequest) -> web.StreamResponse:
     await request.read()
-    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
     return web.Response(body=b"good", headers=headers)
 
 
--- a/tests/crashing_endpoints.py
+++ b/tests/crashing_endpoints.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from celerytrack.platform.topics import ENDPOINTS_TOPIC
-from tests.gateway_fleet import SEAL, Endpoint, Fleet
+from tests.gateway_fleet import SEAL_HEADERS, Endpoint, Fleet
 
 MARKER = b"crash"
 BACK_AFTER_S = 2.0
@@ -85,7 +85,7 @@
         if MARKER in body and self.harmed:
             self.end(name)
             await asyncio.sleep(60)
-        echo = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+        echo = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
         if request.path.startswith(("/stream/", "/resume/")):
             return await _event(request, echo)
         return web.Response(body=b"good", headers=echo)
@@ -189,7 +189,7 @@
             await endpoint.start()
         known = self.fleet.gateways
         count = len(self.endpoints)
-        await self.fleet.until(
+        await self.fleet.wait_until(
             lambda: all(len(g.endpoints.ids()) == count for g in known)
         )
         self.started_s = time.monotonic()
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -29,7 +29,7 @@
 
 HOST = "h.example"
 KEY = "key-of-t"
-SEAL = {"X-Response-Seal": "seal"}
+SEAL_HEADERS = {"X-Response-Seal": "seal"}
 
 Script = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -52,7 +52,7 @@
         return port
 
 
-async def client_of(
+async def make_store_client(
     test: unittest.IsolatedAsyncioTestCase, log: KeyedLog
 ) -> StoreClient:
     """A client of ``log``, which is served until ``test`` ends."""
@@ -193,7 +193,7 @@
         for i in range(self.count):
             self._start_gateway(i)
         try:
-            await self.until(self._all_ready, self.ready_within_s)
+            await self.wait_until(self._all_ready, self.ready_within_s)
         except BaseException:
             await self.__aexit__()
             raise
@@ -208,7 +208,7 @@
     async def add_gateway(self) -> None:
         """Start one more and wait until it serves."""
         self._start_gateway(len(self.gateways))
-        await self.until(self._all_ready, self.ready_within_s)
+        await self.wait_until(self._all_ready, self.ready_within_s)
 
     def _start_gateway(self, i: int) -> None:
         settings = ProcessSettings(
@@ -252,7 +252,9 @@
         _, raw = self.log.topic(ENTRIES_TOPIC).newest()[key]
         return decode_member(key, raw)
 
-    async def until(self, holds: Callable[[], bool], within_s: float = 8.0) -> None:
+    async def wait_until(
+        self, holds: Callable[[], bool], within_s: float = 8.0
+    ) -> None:
         ends_s = time.monotonic() + within_s
         while not holds():
             if time.monotonic() > ends_s:
--- a/tests/restored_site.py
+++ b/tests/restored_site.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 
 from celerytrack.platform.topics import ENDPOINTS_TOPIC
-from tests.gateway_fleet import HOST, SEAL, Endpoint, free_port
+from tests.gateway_fleet import HOST, SEAL_HEADERS, Endpoint, free_port
 from tests.gateway_processes import GatewayProcess
 from tests.keyed_log import KeyedLog
 from tests.version_probe import DEADLINE_MS, PAID_KEY, Operator, VersionProbe
@@ -37,7 +37,7 @@
 
 async def answer(request: web.BaseRequest) -> web.StreamResponse:
     """A stream where one is asked for, else a plain answer."""
-    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
     if not request.path.startswith("/stream/"):
         await asyncio.sleep(0.03)
         return web.Response(body=b"done", headers=headers)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -130,7 +130,7 @@
             await _convict(fleet, run)
             await fleet.log.restore_after(older, 0.3)
             records = fleet.log.topic(SUSPECTS_TOPIC)
-            await fleet.until(lambda: len(records.newest()) > 0)
+            await fleet.wait_until(lambda: len(records.newest()) > 0)
             await fleet.add_gateway()
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 429)
 
@@ -156,14 +156,14 @@
         """Mended software kept refusing what it could run."""
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 6, seed=9) as run:
             await _convict(fleet, run)
-            await fleet.until(lambda: all(e.listens for e in run.endpoints))
+            await fleet.wait_until(lambda: all(e.listens for e in run.endpoints))
             for endpoint in run.endpoints:
                 endpoint.harmed = False
                 await endpoint.replace("v2")
             known = fleet.gateways[1].endpoints
-            await fleet.until(lambda: len(known.ids()) == len(run.endpoints))
+            await fleet.wait_until(lambda: len(known.ids()) == len(run.endpoints))
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=1), 200)
-            await fleet.until(lambda: not any(_known(g) for g in fleet.gateways))
+            await fleet.wait_until(lambda: not any(_known(g) for g in fleet.gateways))
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=0), 200)
 
     async def test_an_operator_sees_what_is_shut_out_and_lifts_it(self) -> None:
@@ -182,7 +182,7 @@
             with self.assertRaises(SuspectsError):
                 await lift_suspect(store, "ff" * 16)
             await lift_suspect(store, suspect.fingerprint.hex()[:8])
-            await fleet.until(lambda: not any(_known(g) for g in fleet.gateways))
+            await fleet.wait_until(lambda: not any(_known(g) for g in fleet.gateways))
             await fleet.add_gateway()
             self.assertEqual(_known(fleet.gateways[2]), [])
             for endpoint in run.endpoints:
@@ -291,12 +291,12 @@
         ):
             (endpoint,) = run.endpoints
             asked = asyncio.create_task(run.ask(run.harmless, b"long", "/once/x"))
-            await fleet.until(lambda: bool(run.arrivals))
+            await fleet.wait_until(lambda: bool(run.arrivals))
             record = endpoint.registration(state="draining")
             fleet.log.put(ENDPOINTS_TOPIC, "i-0-1", record)
             known = fleet.gateways[0].endpoints
             service = ServiceName("s")
-            await fleet.until(lambda: not known.builds(service, time.monotonic()))
+            await fleet.wait_until(lambda: not known.builds(service, time.monotonic()))
             endpoint.end("i-0-1")
             self.assertEqual(await asked, 502)
             await asyncio.sleep(0.4)
@@ -308,18 +308,18 @@
             (endpoint,) = fleet.endpoints
             gateway = fleet.gateways[0]
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", endpoint.registration(born=1_000))
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: any(
                     e.registration.born_ms
                     for e in gateway.endpoints._endpoints.values()
                 )
             )
             asked = asyncio.create_task(fleet.ask("/once/x"))
-            await fleet.until(lambda: len(endpoint.seen) > 0)
+            await fleet.wait_until(lambda: len(endpoint.seen) > 0)
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", endpoint.registration(born=2_000))
             status, _, _ = await asked
             self.assertEqual(status, 502)
-            await fleet.until(lambda: _known(gateway) == [Standing.WATCHED])
+            await fleet.wait_until(lambda: _known(gateway) == [Standing.WATCHED])
 
 
 class ManyRequestsTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -21,7 +21,7 @@
     ENDPOINTS_TOPIC,
     ENTRIES_TOPIC,
 )
-from tests.gateway_fleet import HOST, KEY, SEAL, Endpoint, Fleet, Script, config
+from tests.gateway_fleet import HOST, KEY, SEAL_HEADERS, Endpoint, Fleet, Script, config
 
 T = AccountId("t")
 AT_ONCE_S = 0.075
@@ -29,7 +29,7 @@
 
 
 def _echo(request: web.BaseRequest, **more: str) -> dict[str, str]:
-    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL, **more}
+    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS, **more}
 
 
 async def _good(request: web.BaseRequest) -> web.StreamResponse:
@@ -66,7 +66,7 @@
 
 
 async def _other_answer(request: web.BaseRequest) -> web.StreamResponse:
-    headers = {**SEAL, "X-Attempt-Id": "somebody-else"}
+    headers = {**SEAL_HEADERS, "X-Attempt-Id": "somebody-else"}
     return web.Response(body=b"theirs", headers=headers)
 
 
@@ -238,7 +238,7 @@
                 record = other.registration(zone="far")
                 fleet.log.put(ENDPOINTS_TOPIC, other.name, record)
                 known = fleet.gateways[0].endpoints
-                await fleet.until(lambda: len(known.ids()) == 2)
+                await fleet.wait_until(lambda: len(known.ids()) == 2)
             status, headers, body = await fleet.ask("/plain/x")
             self.assertEqual(json.loads(body)["error"]["verdict"], "may_have_run")
             self.assertEqual(status, 502)
@@ -276,7 +276,7 @@
             fleet.log.put(ENDPOINTS_TOPIC, good.name, far)
             fleet.log.put(ENDPOINTS_TOPIC, dark.name, dark.registration())
             gateway = fleet.gateways[0]
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: (
                     gateway.routing_table.version == 2
                     and len(gateway.endpoints.ids()) == 2
@@ -312,7 +312,7 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await fleet.ask("/stream/x", **self.headers)
-            await fleet.until(lambda: fleet.endpoints[0].cancelled == 1, 0.5)
+            await fleet.wait_until(lambda: fleet.endpoints[0].cancelled == 1, 0.5)
 
     async def test_what_was_delivered_is_spent_once(self):
         async with _fleet(_broken_stream, _five) as fleet:
@@ -370,13 +370,13 @@
     async def _settled(self, fleet: Fleet) -> None:
         """Wait until every entry has written rows that know of the other: the
         first to start claims as if it were alone, and lowers that."""
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(
                 len(g.share_sync.members.members()) == 2 for g in fleet.gateways
             )
         )
         wrote = len(fleet.log.topics["keyed.celerytrack-entries"].records)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: (
                 len(fleet.log.topics["keyed.celerytrack-entries"].records) >= wrote + 6
                 and not any(g.share_sync.budgets.row_on_its_way for g in fleet.gateways)
@@ -389,7 +389,7 @@
             await asyncio.sleep(1.5)
             fleet.log.lose_answers = False
             appends = fleet.log.appends
-            await fleet.until(lambda: fleet.log.appends > appends + 1)
+            await fleet.wait_until(lambda: fleet.log.appends > appends + 1)
             numbers = list(fleet.log.topics["keyed.celerytrack-entries"].answers)
             self.assertEqual(len(numbers), len(set(numbers)))
 
@@ -418,7 +418,7 @@
         async with _fleet(_good) as fleet:
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(7, pathPrefix="/new/"))
             gateway = fleet.gateways[0]
-            await fleet.until(lambda: gateway.routing_table.version == 7, 2.0)
+            await fleet.wait_until(lambda: gateway.routing_table.version == 7, 2.0)
             self.assertEqual((await fleet.ask("/new/x"))[0], 200)
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(3))
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, b"no configuration")
@@ -438,7 +438,9 @@
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(5))
             await asyncio.sleep(0.1)
             fleet.log.deaf = False
-            await fleet.until(lambda: fleet.gateways[0].routing_table.version == 5, 3.5)
+            await fleet.wait_until(
+                lambda: fleet.gateways[0].routing_table.version == 5, 3.5
+            )
 
     async def test_a_lost_history_loses_nothing(self):
         async with _fleet(_good) as fleet:
@@ -449,7 +451,9 @@
             for topic in list(fleet.log.topics):
                 fleet.log.forget_history(topic)
             fleet.log.down = False
-            await fleet.until(lambda: fleet.gateways[0].routing_table.version == 9, 4.0)
+            await fleet.wait_until(
+                lambda: fleet.gateways[0].routing_table.version == 9, 4.0
+            )
             self.assertEqual((await fleet.ask("/plain/x"))[0], 200)
 
     async def test_a_leaving_endpoint_gets_no_new_work(self):
@@ -491,7 +495,7 @@
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first)
             await asyncio.sleep(0.8)
             asking = asyncio.create_task(fleet.ask("/once/x"))
-            await fleet.until(lambda: len(self.endpoint.seen) == 1)
+            await fleet.wait_until(lambda: len(self.endpoint.seen) == 1)
             await self._again(fleet)
             status, _, _ = await asyncio.wait_for(asking, 1.5)
             # It may have run, so it is neither refused as not run nor sent again.
@@ -530,12 +534,12 @@
             for raw in (b"\xff", b"[" * 100_000, first.registration(state="asleep")):
                 fleet.log.put(ENDPOINTS_TOPIC, "i-1", raw)
             fleet.log.put(ENDPOINTS_TOPIC, "i-3", b"{}")
-            await fleet.until(lambda: book.ids() == ["i-2"])
+            await fleet.wait_until(lambda: book.ids() == ["i-2"])
             for i in range(6):
                 await fleet.ask("/plain/x", f"r{i}")
             self.assertEqual((len(first.seen), len(second.seen)), (0, 6))
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first.registration())
-            await fleet.until(lambda: set(book.ids()) == {"i-1", "i-2"})
+            await fleet.wait_until(lambda: set(book.ids()) == {"i-1", "i-2"})
 
     async def test_nor_where_its_service_has_no_other(self):
         """Symptom: for 1.5 s after its record was none, the only endpoint of a
@@ -549,7 +553,7 @@
         async with Fleet(only) as fleet:
             book = fleet.gateways[0].endpoints
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", b"{}")
-            await fleet.until(lambda: book.ids() == [])
+            await fleet.wait_until(lambda: book.ids() == [])
             status, _, _ = await fleet.ask("/plain/x")
             self.assertEqual((status, len(only.seen)), (503, 0))
 
@@ -562,15 +566,15 @@
 
         async with _fleet(slow, gateways=2) as fleet:
             leaving, other = fleet.gateways
-            await fleet.until(lambda: len(other.share_sync.members.live(1e9)) == 1)
+            await fleet.wait_until(lambda: len(other.share_sync.members.live(1e9)) == 1)
             asked = asyncio.create_task(fleet.ask("/once/x"))
-            await fleet.until(lambda: _runs(fleet) == 1)
+            await fleet.wait_until(lambda: _runs(fleet) == 1)
             fleet.servers[0].stop()
-            await fleet.until(lambda: not leaving.ready)
+            await fleet.wait_until(lambda: not leaving.ready)
             self.assertEqual((await asked)[0], 200)
             late = await fleet.ask("/plain/late", "r2")
             self.assertEqual((late[0], late[1].get("Connection")), (200, "close"))
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: not other.share_sync.members.live(1e9),
             )
             address = other.settings.directory_address
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -16,7 +16,7 @@
 
 from celerytrack.platform.http import RESOLVE_PATH
 from celerytrack.platform.topics import CONFIG_KEY, CONFIG_TOPIC, ENDPOINTS_TOPIC
-from tests.gateway_fleet import HOST, KEY, SEAL, Endpoint, config, free_port
+from tests.gateway_fleet import HOST, KEY, SEAL_HEADERS, Endpoint, config, free_port
 from tests.gateway_processes import GatewayProcess, settings_text
 from tests.keyed_log import KeyedLog
 
@@ -34,7 +34,7 @@
 
 
 def _echo(request: web.BaseRequest) -> dict[str, str]:
-    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
 
 
 async def _serve(request: web.BaseRequest) -> web.StreamResponse:
--- a/tests/test_hostile_requests.py
+++ b/tests/test_hostile_requests.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 from nose2.tools import params
 
-from tests.gateway_fleet import KEY, SEAL, Endpoint, Fleet
+from tests.gateway_fleet import KEY, SEAL_HEADERS, Endpoint, Fleet
 
 ROUNDS = 3
 """A request that ended its process once would do so each time."""
@@ -18,7 +18,7 @@
 
 async def _good(request: web.BaseRequest) -> web.StreamResponse:
     await request.read()
-    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
     return web.Response(body=b"good", headers=headers)
 
 
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -19,7 +19,7 @@
 from tests.gateway_fleet import (
     HOST,
     KEY,
-    SEAL,
+    SEAL_HEADERS,
     Endpoint,
     Fleet,
     Script,
@@ -42,7 +42,7 @@
 
 
 def _echo(request: web.BaseRequest) -> dict[str, str]:
-    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
 
 
 async def _long_stream(request: web.BaseRequest) -> web.StreamResponse:
@@ -298,11 +298,11 @@
         good = Endpoint("i-1", _large_answer)
         async with Fleet(good, gateways=2) as fleet:
             views = [gateway.share_sync.members for gateway in fleet.gateways]
-            await fleet.until(lambda: all(len(v.live(1e9)) == 1 for v in views))
+            await fleet.wait_until(lambda: all(len(v.live(1e9)) == 1 for v in views))
             fleet.log.down = True
             await asyncio.sleep(0.5)
             fleet.servers[0].stop()
-            await fleet.until(lambda: not views[1].live(1e9), 0.3)
+            await fleet.wait_until(lambda: not views[1].live(1e9), 0.3)
 
     def test_the_last_row_gives_the_unspent_tokens_back(self):
         """Guards against tokens that count as spent since a stop wrote no last row."""
@@ -315,7 +315,7 @@
                 server.stop()
                 # Each in another moment between two of its rows.
                 await asyncio.sleep(0.07)
-            await fleet.until(fleet.ended)
+            await fleet.wait_until(fleet.ended)
             rows = [fleet.newest_row(f"e{i}") for i in range(4)]
         self.assertEqual([row.shares[T].claimed_tokens for row in rows], [0] * 4)
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -23,7 +23,7 @@
         async with Fleet(gateways=2) as fleet:
             first, second = fleet.gateways
             known = second.share_sync.budgets.guard.known
-            await fleet.until(lambda: T in known(first.entry_id))
+            await fleet.wait_until(lambda: T in known(first.entry_id))
             client = PeerClient()
             self.addAsyncCleanup(client.close)
             address = second.settings.peer_address
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -15,7 +15,7 @@
     ENDPOINTS_TOPIC,
     ENTRIES_TOPIC,
 )
-from tests.gateway_fleet import SEAL, Endpoint, Fleet, client_of, config
+from tests.gateway_fleet import SEAL_HEADERS, Endpoint, Fleet, config, make_store_client
 from tests.keyed_log import KeyedLog
 
 TOPIC = "keyed.rows"
@@ -27,7 +27,7 @@
 
 
 async def _answer(request: web.BaseRequest) -> web.Response:
-    return web.Response(headers={**SEAL, "X-Attempt-Id": "r1"})
+    return web.Response(headers={**SEAL_HEADERS, "X-Attempt-Id": "r1"})
 
 
 class RestoredTailTest(unittest.IsolatedAsyncioTestCase):
@@ -40,7 +40,7 @@
 
     async def _assert_read(self, rewritten):
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         known: dict[str, bytes] = {}
 
         def apply(record):
@@ -65,7 +65,7 @@
         """Guards against a long poll that is answered in the next era, with a record
         that replaced another one at the same offset."""
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         known: dict[str, bytes] = {}
 
         def apply(record):
@@ -91,7 +91,7 @@
             with self.subTest(text=text):
                 log = KeyedLog()
                 log.era_text = lambda _, text=text: text
-                client = await client_of(self, log)
+                client = await make_store_client(self, log)
                 log.put(TOPIC, "a", b"1")
                 with self.assertLogs("celerytrack.platform.store", "ERROR") as logged:
                     for _ in range(3):
@@ -102,7 +102,7 @@
 
     async def test_tail_converges_whatever_eras_the_answers_report(self):
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         known: dict[str, bytes] = {}
 
         def apply(record):
@@ -123,7 +123,7 @@
 
     async def test_late_answer_of_an_older_era_is_discarded(self):
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         await client.read(TOPIC, 0)
         held = asyncio.create_task(client.read(TOPIC, 0, 1.0))
         await asyncio.sleep(0.1)
@@ -152,9 +152,9 @@
             for _ in range(times):
                 await fleet.log.restore_after(backup, 0.3)
             era = fleet.log.era
-            await fleet.until(lambda: self._republished(fleet, era), 2.0)
+            await fleet.wait_until(lambda: self._republished(fleet, era), 2.0)
             # Rows of the new era have lower offsets than those read before.
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: not any(b.guard.holding for b in books), MAX_HOLD_S
             )
             after_restore = [b._share(ACCOUNT).accepted_tokens for b in books]
@@ -178,7 +178,7 @@
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway, log = fleet.gateways[0], fleet.log
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(2))
-            await fleet.until(lambda: gateway.routing_table.version == 2)
+            await fleet.wait_until(lambda: gateway.routing_table.version == 2)
             backup = log.copy()
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(3, idle_routes=1))
             restoring = asyncio.create_task(
@@ -193,14 +193,14 @@
                 self.assertEqual(gateway.routing_table.version, 2)
                 await asyncio.sleep(0.1)
             self.assertEqual(statuses, {503})
-            await fleet.until(lambda: gateway.routing_table.version == 3, 2.0)
+            await fleet.wait_until(lambda: gateway.routing_table.version == 3, 2.0)
 
     async def test_version_in_force_is_kept_until_it_is_republished(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway, log = fleet.gateways[0], fleet.log
             backup = log.copy()
             log.put(CONFIG_TOPIC, CONFIG_KEY, config(2))
-            await fleet.until(lambda: gateway.routing_table.version == 2)
+            await fleet.wait_until(lambda: gateway.routing_table.version == 2)
             restoring = asyncio.create_task(log.restore_after(backup, 0.2, 1.0))
             while not restoring.done():
                 self.assertEqual(gateway.routing_table.version, 2)
@@ -213,14 +213,18 @@
             gateway, log = fleet.gateways[0], fleet.log
             numbers = {"born": 1, "sequence": 1}
             log.put(ENDPOINTS_TOPIC, "left", left.registration(**numbers))
-            await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a", "left"})
+            await fleet.wait_until(
+                lambda: set(gateway.endpoints.ids()) == {"a", "left"}
+            )
             backup = log.copy()
             log.put(ENDPOINTS_TOPIC, "left", b"")
             log.put(ENDPOINTS_TOPIC, "late", late.registration(**numbers))
-            await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a", "late"})
+            await fleet.wait_until(
+                lambda: set(gateway.endpoints.ids()) == {"a", "late"}
+            )
             log.restore(backup)
             deadline_s = time.monotonic() + 1.5
             while time.monotonic() < deadline_s:
                 self.assertEqual(set(gateway.endpoints.ids()), {"a", "late"})
                 await asyncio.sleep(0.05)
-            await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a"}, 3.0)
+            await fleet.wait_until(lambda: set(gateway.endpoints.ids()) == {"a"}, 3.0)
--- a/tests/test_row_writer.py
+++ b/tests/test_row_writer.py
@@ -7,7 +7,7 @@
 from celerytrack.gateway.row_writer import RowWriter
 from celerytrack.ids import EntryId
 from celerytrack.platform.topics import ENTRIES_TOPIC
-from tests.gateway_fleet import client_of
+from tests.gateway_fleet import make_store_client
 from tests.keyed_log import KeyedLog
 
 ME = EntryId("me")
@@ -21,7 +21,7 @@
         the entry then relies on claims that are not on the log.
         """
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         with mock.patch.object(client, "set_epoch", wraps=client.set_epoch) as fence:
             writer = RowWriter(client, ME, lambda answered: None)
             await writer.fence()
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -22,7 +22,7 @@
     ENTRIES_TOPIC,
 )
 from celerytrack.prepaid import Row
-from tests.gateway_fleet import SEAL, Endpoint, Fleet, client_of, config
+from tests.gateway_fleet import SEAL_HEADERS, Endpoint, Fleet, config, make_store_client
 from tests.keyed_log import KeyedLog
 
 LINK_BYTES_PER_S = 5e6 / 8
@@ -51,7 +51,7 @@
 
 
 async def _answer(request: web.BaseRequest) -> web.Response:
-    return web.Response(headers={**SEAL, "X-Attempt-Id": "r1"})
+    return web.Response(headers={**SEAL_HEADERS, "X-Attempt-Id": "r1"})
 
 
 class BackAfterACutTest(unittest.IsolatedAsyncioTestCase):
@@ -80,7 +80,9 @@
                 fleet.log.put(ENTRIES_TOPIC, f"entry-{i % 64}", _row(i))
             fleet.log.down = False
             gateway = fleet.gateways[0]
-            await fleet.until(lambda: gateway.routing_table.version == 29, IN_FORCE_S)
+            await fleet.wait_until(
+                lambda: gateway.routing_table.version == 29, IN_FORCE_S
+            )
 
 
 class ConfigStormTest(unittest.IsolatedAsyncioTestCase):
@@ -148,7 +150,7 @@
         """
         log = KeyedLog()
         log.link.bytes_per_s = LINK_BYTES_PER_S
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         known: dict[str, int] = {}
 
         def apply(record):
@@ -186,7 +188,7 @@
 
     async def _assert_read(self, only_key):
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         taken = {}
 
         def apply(record):
@@ -205,7 +207,7 @@
         """An entry that starts first and reads right after each row of its own never
         reads the others' rows, and takes their tokens for free."""
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         taken = {}
 
         def apply(record):
@@ -320,4 +322,4 @@
             fleet.log.link.bytes_per_s = 10_000.0
             other = fleet.endpoints[0].registration(service="other" * 600)
             fleet.log.put(ENDPOINTS_TOPIC, "other", other)
-            await fleet.until(lambda: gateway.endpoints_read_time_s > 0.25)
+            await fleet.wait_until(lambda: gateway.endpoints_read_time_s > 0.25)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -4,7 +4,7 @@
 
 from returns.result import Success
 
-from tests.gateway_fleet import client_of
+from tests.gateway_fleet import make_store_client
 from tests.keyed_log import KeyedLog
 
 TOPIC = "keyed.rows"
@@ -27,7 +27,7 @@
         log.link.bytes_per_s = 10e6 / 8
         for i in range(1_000):
             log.put(TOPIC, f"e{i % 76}", bytes(2_000))
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         offset = 0
         for _ in range(20):
             match await client.read(TOPIC, offset):
