--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -49,25 +49,26 @@
 class RestoredFleet:
     """The log, the entries before it, endpoints, the operator, and what was spent.
 
-    :param tells: whether the log's answers tell their era.
-    :ivar excused: what may be overrun by: what an entry had spent, under a claim that
-        was lost with the copy, before it was killed and could write it again; and what
-        a start could not know that another, cut off, had claimed since the copy.
+    :param reports_era: whether the log's answers tell their era.
+    :ivar allowed_overspend: tokens by which the total may be exceeded: what an entry
+        had spent under a claim that the restore lost, if it was killed before it could
+        republish the claim; and what an entry cut off from the log had claimed since
+        the backup, which a new incarnation cannot know.
     """
 
-    def __init__(self, seed: int, tells: bool = True) -> None:
+    def __init__(self, seed: int, reports_era: bool = True) -> None:
         self.rng = random.Random(seed)
         self.log = RestoredLog()
         self.instances = [
-            Instance(i, self.log, self, self.rng, tells) for i in range(ENTRIES)
+            Instance(i, self.log, self, self.rng, reports_era) for i in range(ENTRIES)
         ]
         self.replicas = {name: Replica() for name in ENDPOINTS}
         self.version = 1
         self.confirmed_s: dict[int, float] = {}
         self.used = 0
-        self.excused = 0
+        self.allowed_overspend = 0
         self.running = 0
-        self.gifts_lost = False
+        self.peer_replies_lost = False
         self._tasks: set[asyncio.Task] = set()
 
     # -- the steps ------------------------------------------------------------
@@ -81,9 +82,9 @@
             instance.start()
         for instance in self.instances:
             await instance.take_over()
-        self.keep(self.log.keep_copies())
-        self.keep(self._heartbeats())
-        self.keep(self._callers())
+        self.run_in_background(self.log.take_backups())
+        self.run_in_background(self._heartbeats())
+        self.run_in_background(self._callers())
         await self.run(1.5)
 
     async def run(self, for_s: float) -> None:
@@ -96,38 +97,44 @@
 
     def spend(self, i: int, tokens: int, part: float, takes_s: float) -> None:
         """A request at one entry, which uses a part of what it reserves."""
-        self.keep(self._spend(self.instances[i], tokens, int(tokens * part), takes_s))
+        self.run_in_background(
+            self._spend(self.instances[i], tokens, int(tokens * part), takes_s)
+        )
 
     def new_version(self) -> None:
         """The operator writes a version, if the log takes it."""
-        if not self.log.away:
+        if not self.log.unavailable:
             self.version += 3
             self._operator_writes(self.version)
 
     def drain(self, name: str) -> None:
         """An endpoint says that it leaves."""
-        if not self.log.away and not self.replicas[name].gone:
+        if not self.log.unavailable and not self.replicas[name].gone:
             self.replicas[name].draining = True
             self._heartbeat(name)
 
     def leave(self, name: str) -> None:
         """An endpoint's registration is removed."""
-        if not self.log.away and not self.replicas[name].gone:
+        if not self.log.unavailable and not self.replicas[name].gone:
             self.replicas[name].gone = True
             self.log.put(ENDPOINTS_TOPIC, name, b"")
 
     def restart(self, name: str) -> None:
         """An endpoint that left is back, by a newer record."""
-        if not self.log.away:
+        if not self.log.unavailable:
             self.replicas[name].draining = self.replicas[name].gone = False
             self._heartbeat(name)
 
-    def come_back(self, away_s: float, copies_ago: int, written_again_s: float) -> None:
+    def restore_log(
+        self, away_s: float, copies_ago: int, written_again_s: float
+    ) -> None:
         """The log goes away and comes back from a copy."""
-        if not self.log.away:
-            self.keep(self.log.come_back(away_s, copies_ago, written_again_s))
+        if not self.log.unavailable:
+            self.run_in_background(
+                self.log.restore(away_s, copies_ago, written_again_s)
+            )
 
-    async def come_back_without(
+    async def restore_without_claim(
         self, i: int, tokens: int, copies_ago: int, for_s: float
     ) -> None:
         """One entry claims more, the log comes back without its claim, and the entry
@@ -136,7 +143,7 @@
         await self._burst([i], tokens)
         await self.run(0.4)
         instance.store.cut = True
-        self.come_back(0.05, copies_ago, 0.5)
+        self.restore_log(0.05, copies_ago, 0.5)
         await self.run(0.4)
         await self._burst([j for j in range(ENTRIES) if j != i], tokens)
         await self.run(for_s)
@@ -159,10 +166,14 @@
         await self.run(down_s)
         instance.start()
         await instance.take_over()
-        excused = max(0, floor - instance.share().adopted_tokens)
-        excused += sum(self._unknown(o) for o in self.instances if o is not instance)
-        assert not excused or self.log.era > 1, "a start forgot what was spent"
-        self.excused += excused
+        allowed_overspend = max(0, floor - instance.share().adopted_tokens)
+        allowed_overspend += sum(
+            self._unknown(o) for o in self.instances if o is not instance
+        )
+        assert not allowed_overspend or self.log.era > 1, (
+            "a start forgot what was spent"
+        )
+        self.allowed_overspend += allowed_overspend
 
     async def stop(self, i: int, down_s: float) -> None:
         """A planned stop, and another start: what it has not spent comes back."""
@@ -186,7 +197,7 @@
             store = instance.store
             store.cut = False
             store.lost_share = store.late_s = store.slow_s = 0.0
-        while self.log.away or not all(i.serves for i in self.instances):
+        while self.log.unavailable or not all(i.serves for i in self.instances):
             await self.run(0.5)
         await self.run(12.0)
 
@@ -205,16 +216,16 @@
     def check(self) -> None:
         """What holds at any time."""
         used = self.used + self.running
-        assert used <= TOTAL + self.excused, (used, self.excused)
+        assert used <= TOTAL + self.allowed_overspend, (used, self.allowed_overspend)
         for instance in self.instances:
             if not instance.up:
                 continue
-            instance.look()
+            instance.check_tasks()
             if instance.fenced:
                 # A call of an earlier start came late, behind the log's return, which
                 # had forgotten that start's epochs.
                 assert self.log.era > 1
-                self.keep(self.kill(instance.number, False, 0.3))
+                self.run_in_background(self.kill(instance.number, False, 0.3))
                 continue
             self._check_version(instance)
             self._check_endpoints(instance)
@@ -238,7 +249,10 @@
         assert table.version >= instance.version, "an older version is in force"
         instance.version = table.version
         now_s = asyncio.get_running_loop().time()
-        if instance.gateway.may_deny(instance.now_s()) and now_s > instance.aware_s:
+        if (
+            instance.gateway.may_deny(instance.now_s())
+            and now_s > instance.may_deny_stale_until_s
+        ):
             old = [
                 v for v, at_s in self.confirmed_s.items() if now_s - at_s > IN_FORCE_S
             ]
@@ -249,10 +263,10 @@
         read = self._read_of(instance)
         for name in self.replicas:
             if self._usable(instance, name):
-                number = instance.over.pop(name, 0)
+                number = instance.departed.pop(name, 0)
                 assert read[name] > number, f"{name} left and is back"
             elif name in read:
-                instance.over[name] = read[name]
+                instance.departed[name] = read[name]
 
     def _check_rows(self, instance: Instance) -> None:
         newest = self.log.topic(ENTRIES_TOPIC).newest()
@@ -279,20 +293,20 @@
             other.clock, share_sync.reservations.transfer(account, tokens)
         )
         alive = other.up and other.gateway.share_sync is share_sync
-        return given if alive and not self.gifts_lost else 0
+        return given if alive and not self.peer_replies_lost else 0
 
     async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
         """Entry to entry: what is known of a row, which may be lost like a gift."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
-        if not other.up or self.gifts_lost:
+        if not other.up or self.peer_replies_lost:
             return {}
         return other.gateway.share_sync.budgets.guard.known(me)
 
     async def close(self) -> None:
         """Gifts need no connections here."""
 
-    def keep(self, coro) -> None:
+    def run_in_background(self, coro) -> None:
         """Run a task until the end."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
@@ -344,7 +358,7 @@
         while True:
             await asyncio.sleep(1.0)
             for name, replica in self.replicas.items():
-                if not replica.gone and not self.log.away:
+                if not replica.gone and not self.log.unavailable:
                     self._heartbeat(name)
 
     def _unknown(self, instance: Instance) -> int:
--- a/tests/restored_instance.py
+++ b/tests/restored_instance.py
@@ -24,11 +24,11 @@
     """One instance, its clock and the entry process on it.
 
     :param peer_client: asks the other entries for tokens.
-    :param tells: whether the log's answers tell their era.
-    :ivar aware_s: until when a process that started after the log was back, and before
-        all was written again, may deny what it read of the copy.
+    :param reports_era: whether the log's answers tell their era.
+    :ivar may_deny_stale_until_s: until when the process may refuse by what it read
+        from the backup: it started after the restore and before all was republished.
     :ivar closed: its planned stop takes no more requests.
-    :ivar over: endpoints that this process read to have left, and the number of the
+    :ivar departed: endpoints that this process read to have left, and the number of the
         last record that it had read of each.
     """
 
@@ -38,7 +38,7 @@
         log: RestoredLog,
         peer_client: object,
         rng: random.Random,
-        tells: bool,
+        reports_era: bool,
     ) -> None:
         self.number = number
         self.clock = Clock()
@@ -46,14 +46,14 @@
         self.store: RestoredStore
         self.up = False
         self.closed = False
-        self.aware_s = 0.0
+        self.may_deny_stale_until_s = 0.0
         self._started_s = 0.0
         self.version = 0
-        self.over: dict[str, int] = {}
+        self.departed: dict[str, int] = {}
         self._log = log
         self._peer_client = peer_client
         self._rng = rng
-        self._tells = tells
+        self._reports_era = reports_era
         self._tasks: list[asyncio.Task] = []
 
     @property
@@ -65,7 +65,7 @@
         """Start its process."""
 
         def make_store(_: str, eras: EraWatch) -> RestoredStore:
-            self.store = RestoredStore(self._log, eras, self._rng, self._tells)
+            self.store = RestoredStore(self._log, eras, self._rng, self._reports_era)
             return self.store
 
         loop_s = asyncio.get_running_loop().time()
@@ -94,9 +94,9 @@
                 loop_s + self.clock.steady_ahead_s,
             )
         self.version = 0
-        self.over = {}
+        self.departed = {}
         self._started_s = loop_s
-        self.aware_s = float("inf")
+        self.may_deny_stale_until_s = float("inf")
         self.up = True
         self.closed = False
         self._tasks = [
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.01)
         rewritten_s = self._log.rewritten_s
         unaware = rewritten_s >= self._started_s
-        self.aware_s = rewritten_s + UNAWARE_S if unaware else 0.0
+        self.may_deny_stale_until_s = rewritten_s + UNAWARE_S if unaware else 0.0
 
     @staticmethod
     async def _follow(tail, interval_s: float) -> None:
@@ -124,12 +124,12 @@
     def end(self) -> None:
         """End its process at once."""
         if self.up:
-            self.look()
+            self.check_tasks()
         self.up = False
         for task in self._tasks:
             task.cancel()
 
-    def look(self) -> None:
+    def check_tasks(self) -> None:
         """See that all of its tasks run."""
         for task in self._tasks:
             assert not task.done() or self.fenced, task
--- a/tests/restored_log.py
+++ b/tests/restored_log.py
@@ -18,9 +18,9 @@
     Writer,
 )
 
-COPY_EVERY_S = 0.25
+BACKUP_INTERVAL_S = 0.25
 """How far apart the copies are that the log may come back from."""
-COPIES = 24
+MAX_BACKUPS = 24
 
 
 @attrs.define
@@ -43,17 +43,17 @@
 class RestoredLog:
     """The log, and copies of it to come back from.
 
-    :ivar away: no call is answered or takes effect.
+    :ivar unavailable: no call is answered or takes effect.
     :ivar era: rises each time.
     :ivar confirmed: what the platform wrote: topic, key, value.
     """
 
     def __init__(self) -> None:
         self.topics: dict[str, Topic] = {}
-        self.away = False
+        self.unavailable = False
         self.era = 1
         self.confirmed: dict[tuple[str, str], bytes] = {}
-        self._copies: list[dict[str, Topic]] = []
+        self._backups: list[dict[str, Topic]] = []
         # When it was back, and when all was written again.
         self.returned_s = self.rewritten_s = float("-inf")
 
@@ -71,26 +71,26 @@
         for topic in self.topics.values():
             topic.first = len(topic.records)
 
-    async def keep_copies(self) -> None:
+    async def take_backups(self) -> None:
         """Make copies for ever."""
         while True:
-            if not self.away:
-                self._copies.append(copy.deepcopy(self.topics))
-                del self._copies[:-COPIES]
-            await asyncio.sleep(COPY_EVERY_S)
+            if not self.unavailable:
+                self._backups.append(copy.deepcopy(self.topics))
+                del self._backups[:-MAX_BACKUPS]
+            await asyncio.sleep(BACKUP_INTERVAL_S)
 
-    async def come_back(
+    async def restore(
         self, away_s: float, copies_ago: int, written_again_s: float
     ) -> None:
         """Be away, come back from a copy, and have what the platform wrote since
         written again ``written_again_s`` later."""
         loop = asyncio.get_running_loop()
-        self.away = True
+        self.unavailable = True
         await asyncio.sleep(away_s)
-        older = self._copies[-min(copies_ago, len(self._copies))]
+        older = self._backups[-min(copies_ago, len(self._backups))]
         self.topics = copy.deepcopy(older)
         self.era += 1
-        self.away = False
+        self.unavailable = False
         self.returned_s = loop.time()
         self.rewritten_s = self.returned_s + written_again_s
         await asyncio.sleep(written_again_s)
@@ -125,7 +125,7 @@
 class RestoredStore:
     """What the store's client offers, for one entry.
 
-    :param tells: whether answers tell their era.
+    :param reports_era: whether answers tell their era.
     :ivar cut: nothing gets through, either way.
     :ivar lost_share: share of the calls that are done and not answered.
     :ivar late_s: how much longer a call may take until it is done.
@@ -133,7 +133,7 @@
     """
 
     def __init__(
-        self, log: RestoredLog, eras: EraWatch, rng: random.Random, tells: bool
+        self, log: RestoredLog, eras: EraWatch, rng: random.Random, reports_era: bool
     ) -> None:
         self.cut = False
         self.lost_share = 0.0
@@ -142,7 +142,7 @@
         self._log = log
         self._eras = eras
         self._rng = rng
-        self._tells = tells
+        self._reports_era = reports_era
         self._late: set[asyncio.Task[None]] = set()
 
     async def newest(self, topic: str) -> Result[Batch, StoreError]:
@@ -196,7 +196,7 @@
         """There is nothing to close."""
 
     def _era(self) -> Era | None:
-        return Era(self._log.era) if self._tells else None
+        return Era(self._log.era) if self._reports_era else None
 
     async def _call(self, do):
         """Have ``do`` done, and its answer brought with the era it was made in."""
@@ -219,7 +219,7 @@
         if self.cut:
             return
         await asyncio.sleep(0.002 + self._rng.random() * self.late_s)
-        if self._log.away:
+        if self._log.unavailable:
             return
         result, era = do(), self._era()
         if self._rng.random() < self.lost_share:
--- a/tests/restored_site.py
+++ b/tests/restored_site.py
@@ -51,7 +51,7 @@
 
 
 @attrs.define
-class Seen:
+class Outcomes:
     """What callers and probes saw.
 
     :ivar whole: ids of requests with a whole good answer.
@@ -77,7 +77,7 @@
         self.operator = Operator(self.log, total_tokens)
         self.endpoints = [Endpoint(f"i-{i}", answer) for i in range(8)]
         self.gateways: list[GatewayProcess] = []
-        self.seen = Seen()
+        self.seen = Outcomes()
         self.exits: list[int | None] = []
         self.traces: list[str] = []
         self._stopped_s: dict[str, float] = {}
@@ -133,7 +133,9 @@
         sent = f"{request_id} to {ip}, {after_s} s after its SIGTERM"
         return "\n".join([f"{sent}, reached {reached}", *wrote])
 
-    def keep(self, coro: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
+    def run_in_background(
+        self, coro: Coroutine[Any, Any, None]
+    ) -> "asyncio.Task[None]":
         """Run ``coro`` until it ends or the site does."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
@@ -167,7 +169,7 @@
         for gateway in gateways:
             gateway.signal(signal.SIGTERM)
             self._stopped_s[gateway.ip] = time.monotonic()
-            stops.append(self.keep(self._start_again(gateway)))
+            stops.append(self.run_in_background(self._start_again(gateway)))
             await asyncio.sleep(apart_s)
         await asyncio.gather(*stops)
 
@@ -181,9 +183,9 @@
         """Have callers with open connections send until the site ends."""
         for gateway in self.gateways:
             for _ in range(connections_each):
-                self.keep(self._caller(gateway, pause_s))
+                self.run_in_background(self._caller(gateway, pause_s))
             self.probes.append(VersionProbe(gateway, self.operator))
-            self.keep(self._probe(self.probes[-1]))
+            self.run_in_background(self._probe(self.probes[-1]))
 
     def stop_load(self) -> None:
         """Have callers and probes end what they do and send no more."""
--- a/tests/test_restore_model.py
+++ b/tests/test_restore_model.py
@@ -59,13 +59,13 @@
     ),
     _step("gifts", lost=st.booleans()),
     _step(
-        "come_back",
+        "restore_log",
         away_s=st.sampled_from([0.05, 0.5, 2.0]),
         copies_ago=st.sampled_from([1, 4, 12, 20]),
         written_again_s=st.sampled_from([0.0, 0.5, 1.5]),
     ),
     _step(
-        "come_back_without",
+        "restore_without_claim",
         i=which,
         tokens=st.sampled_from([500, 1_500]),
         copies_ago=st.sampled_from([4, 8, 12, 20]),
@@ -95,20 +95,20 @@
             for field, value in arguments.items():
                 setattr(store, field, value)
         case "gifts":
-            fleet.gifts_lost = arguments["lost"]
+            fleet.peer_replies_lost = arguments["lost"]
         case "kill":
             await _kill(fleet, **arguments)
         case "stop":
             await fleet.stop(**arguments)
-        case "come_back_without":
-            await fleet.come_back_without(**arguments)
+        case "restore_without_claim":
+            await fleet.restore_without_claim(**arguments)
         case _:
             getattr(fleet, step)(**arguments)
 
 
 async def _kill(fleet: RestoredFleet, i: int, power: bool, down_s: float) -> None:
     # A start waits for the log: it must be there.
-    while fleet.log.away:
+    while fleet.log.unavailable:
         await fleet.run(0.1)
     await fleet.kill(i, power, down_s)
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -38,7 +38,7 @@
                 await site.change_and_restore(k, self._written_again_s(site))
                 await asyncio.sleep(1.5)
             again_s = self._written_again_s(site)
-            back = site.keep(site.change_and_restore(2, again_s))
+            back = site.run_in_background(site.change_and_restore(2, again_s))
             await asyncio.sleep(1.6)
             await site.roll(site.gateways[:STOPPED], apart_s=0.4)
             await back
