--- a/src/celerytrack/gateway/peer_messages.py
+++ b/src/celerytrack/gateway/peer_messages.py
@@ -4,9 +4,9 @@
   entries send a long prompt to the same engine at the same time, these delay each other
   and every short request behind them.
 - A planned stop, as it begins. While the log is slow or unreachable, the row that says
-  so arrives late or not at all, and clients would be sent to an entry that leaves.
-- Requests during which endpoints ended (:mod:`celerytrack.suspects`), as it is seen.
-  The log carries them too, but later.
+  so arrives late or not at all, and callers would be sent to an entry that leaves.
+- Requests during which endpoints crashed (:mod:`celerytrack.suspects`), as soon as an
+  entry sees it. The log carries them too, but later.
 
 Each message is one datagram to each entry. Delivery is best effort: if a datagram is
 lost, the receiver keeps its previous view, and no request waits for it.
@@ -35,7 +35,7 @@
 
 MIN_PROMPT_WORK_S = 0.03
 """Prompts of less prefill time are not announced: the delay that they cause to other
-requests is too short for a client to notice."""
+requests is too short for a caller to notice."""
 MAX_PROMPT_RECIPIENTS = 100
 """Most entries that a prompt is announced to: a larger fleet has more engines than one
 entry uses."""
@@ -135,7 +135,7 @@
         )
 
     def send_findings(self, addresses: Iterable[str], findings: Findings) -> None:
-        """Send findings about suspect requests to the entries at ``addresses``."""
+        """Send findings about suspected requests to the entries at ``addresses``."""
         self._send(addresses, encode_findings(findings))
 
     def _send(self, addresses: Iterable[str], data: bytes) -> None:
--- a/src/celerytrack/gateway/peer_requests.py
+++ b/src/celerytrack/gateway/peer_requests.py
@@ -135,39 +135,42 @@
 RowLookup = Callable[[EntryId], Mapping[AccountId, Row]]
 
 
-def handle_row_query(known: RowLookup, request: web.BaseRequest) -> web.Response:
+def handle_row_query(lookup_row: RowLookup, request: web.BaseRequest) -> web.Response:
     """Answer another entry that queries its own row.
 
-    :param known: looks up the row known of an entry.
+    :param lookup_row: returns the row known of an entry.
     """
-    row = known(EntryId(request.query.get("entry", "")))
+    row = lookup_row(EntryId(request.query.get("entry", "")))
     return web.Response(body=encode_shares(row))
 
 
 async def handle_peer_request(
-    give: TransferTokens, known: RowLookup, request: web.BaseRequest
+    transfer: TransferTokens, lookup_row: RowLookup, request: web.BaseRequest
 ) -> web.Response:
     """Route a request of another entry to its handler."""
     if request.path == _ROW_PATH and request.method == "GET":
-        return handle_row_query(known, request)
-    return await handle_transfer(give, request)
+        return handle_row_query(lookup_row, request)
+    return await handle_transfer(transfer, request)
 
 
 async def handle_transfer(
-    give: TransferTokens, request: web.BaseRequest
+    transfer: TransferTokens, request: web.BaseRequest
 ) -> web.Response:
     """Answer another entry that requests tokens.
 
-    :param give: transfers up to the requested tokens of an account; returns how many.
+    :param transfer: transfers up to the requested tokens of an account; returns how
+        many.
     """
     if request.path != _TRANSFER_PATH or request.method != "POST":
         return web.Response(status=404)
     try:
-        asked = decode_transfer_request(await request.read())
+        query = decode_transfer_request(await request.read())
     except UnreadableError as exc:
         log_event(_log, Event.GIFT_FAILED, logging.WARNING, detail=str(exc))
         return web.Response(status=400)
-    account = AccountId(asked.account)
-    given = await give(account, asked.tokens)
-    log_event(_log, Event.GIFT_GIVEN, account=account, asked=asked.tokens, given=given)
-    return web.json_response({"tokens": given})
+    account = AccountId(query.account)
+    transferred = await transfer(account, query.tokens)
+    log_event(
+        _log, Event.GIFT_GIVEN, account=account, asked=query.tokens, given=transferred
+    )
+    return web.json_response({"tokens": transferred})
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -14,7 +14,7 @@
 
 MAX_TOKEN_WAIT_S = 0.35
 """Longest wait of a request for tokens. A slow store completes a row within it; with a
-slower one the client is better served by another entry."""
+slower one the caller is better served by another entry."""
 SLOW_APPEND_S = 0.1
 """A row that has been in flight for this long is not waited for: rows usually take a
 tenth of it, and the other entries answer sooner."""
@@ -25,7 +25,7 @@
 """Most entries asked for tokens, one after the other; each answers within a ms."""
 PEER_REQUESTS_TIMEOUT_S = 0.1
 """Time limit for asking other entries on behalf of one request: tokens that come later
-are too late for a client that waits for a short answer."""
+are too late for a caller that waits for a short answer."""
 DEPLETED_TTL_S = 1.0
 """How long an entry that transferred less than requested is skipped. While the log is
 unreachable its last row stays valid: the same few depleted entries would be asked again
@@ -34,7 +34,7 @@
 """Pairs of account and entry that the cache of depleted entries holds."""
 SHORTFALL_TTL_S = 0.25
 """How long a shortfall of an account is cached, so that no request asks the other
-entries for as many tokens again. The client is refused without waiting for them, and a
+entries for as many tokens again. The caller is refused without waiting for them, and a
 fleet with a used-up account does not exchange queries at every request."""
 
 
@@ -133,14 +133,14 @@
                 break
             if member is None:
                 continue
-            given = await self._peer_client.request_transfer(
+            transferred = await self._peer_client.request_transfer(
                 member.peer_address, account, missing
             )
-            self._budgets.receive(account, given)
-            if given < missing:
+            self._budgets.receive(account, transferred)
+            if transferred < missing:
                 depleted_until_s = time.monotonic() + DEPLETED_TTL_S
                 self._depleted_until_s[account, entry] = depleted_until_s
-            missing -= given
+            missing -= transferred
         if missing > 0 and len(asked) < MAX_PEERS_ASKED:
             self._shortfalls[account] = (missing, time.monotonic() + SHORTFALL_TTL_S)
 
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -1,4 +1,4 @@
-"""Log lines about a restore of the platform's log from an older snapshot."""
+"""Log lines about a restore of the platform's log from an older backup."""
 
 import logging
 from collections.abc import Set
--- a/src/celerytrack/gateway/row_writer.py
+++ b/src/celerytrack/gateway/row_writer.py
@@ -22,7 +22,7 @@
 
 
 class LogRestoredError(Exception):
-    """The log was restored from an older snapshot: what was written may be lost."""
+    """The log was restored from an older backup: what was written may be lost."""
 
 
 class RowWriter:
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -163,7 +163,7 @@
             await wait_for_event(self._wake, max(MIN_WAIT_S, left_s))
 
     def publish_leaving(self) -> None:
-        """Publish at once that this entry accepts no new clients."""
+        """Publish at once that this entry accepts no new callers."""
         self.state = MemberState.LEAVING
         self._row_due = True
         self._wake.set()
@@ -282,7 +282,7 @@
     # -- a restored log ---------------------------------------------------
 
     def _on_era_change(self, change: EraChange) -> None:
-        """Hold claims at once: what other tasks read next is from the snapshot."""
+        """Hold claims at once: what other tasks read next is from the backup."""
         alive = self.members.lately_written()
         if not self.started:
             alive = set(self._rows_of_other_eras())
@@ -301,7 +301,7 @@
         try:
             await self._writer.refence()
         except FencedError:
-            # A snapshot may hold higher epochs of earlier incarnations, from before an
+            # A backup may hold higher epochs of earlier incarnations, from before an
             # earlier restore. A later incarnation, if there is one, has a row on the
             # log.
             while not await self._tail.poll():
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -42,7 +42,7 @@
 
 RETRY_SHARE = 0.7
 """Part of the fleet-wide retry budget that entries use: an entry counts only its own
-requests, and clients are not spread evenly."""
+requests, and callers are not spread evenly."""
 
 
 class Gateway:
@@ -102,7 +102,7 @@
         self._retry_budgets: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
         self.ended_endpoints = EndedEndpoints(
-            self.endpoints.superseded, self._on_endpoint_ended
+            self.endpoints.superseded, self._on_endpoint_crash
         )
         self.suspects = SuspectKeeper(
             self.store,
@@ -110,21 +110,21 @@
             self.boot_id,
             self.eras,
             self._send_findings,
-            self._log_shut_out,
+            self._log_quarantined,
         )
         self.suspects_in_flight: collections.Counter[EndpointId] = collections.Counter()
-        self._logged_shut_out: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
+        self._logged_quarantines: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
             MOST_SUSPECTS
         )
 
     @property
     def leaving(self) -> bool:
-        """Whether a planned stop has begun: clients are sent to other entries."""
+        """Whether a planned stop has begun: callers are sent to other entries."""
         return self.stop is not None
 
     @property
     def ready(self) -> bool:
-        """Whether clients should be sent here."""
+        """Whether callers should be sent here."""
         return (
             not self.leaving
             and self.routing_table is not None
@@ -141,7 +141,7 @@
         """Whether a route or key that is missing here certainly does not exist.
 
         If the known configuration is too old, the route or key may be in force
-        elsewhere: after a final refusal its clients would not try another entry.
+        elsewhere: after a final refusal its callers would not try another entry.
         """
         return self.config_age_s(now_s) < self.settings.config_in_force_s
 
@@ -149,7 +149,7 @@
         """Whether the log answers, but too slowly to learn in time that an endpoint
         leaves.
 
-        On a link saturated by clients a read takes seconds, and an endpoint that left
+        On a link saturated by callers a read takes seconds, and an endpoint that left
         meanwhile looks ready; a request sent to it then waits as long for the link
         again. While the log is unreachable, the known registrations stay valid.
         """
@@ -160,11 +160,11 @@
     def _on_era_change(self, change: EraChange) -> None:
         self.telemetry.store_restores.inc()
         if not self.share_sync.started:
-            # What this process has read so far may be from the snapshot.
+            # What this process has read so far may be from the backup.
             self.config_known_at_s = float("-inf")
         self.endpoints.restored()
 
-    def _on_endpoint_ended(self, ended: EndedEndpoint) -> None:
+    def _on_endpoint_crash(self, ended: EndedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
         log_event(
             _log,
@@ -181,7 +181,7 @@
         )
         found = self.suspects.book.witnessed(ending, ended.broken, now_s)
         self.suspects.publish(found)
-        self._log_shut_out(found)
+        self._log_quarantined(found)
 
     def _send_findings(self, findings: Findings) -> None:
         members = self.share_sync.members.live(time.monotonic())
@@ -195,17 +195,17 @@
             self.endpoints.ended(evidence.ending.endpoint_id, now_s)
         self.suspects.hear(findings)
 
-    def _log_shut_out(self, findings: Findings) -> None:
-        """Log each newly shut out request once for the same endings."""
+    def _log_quarantined(self, findings: Findings) -> None:
+        """Log newly quarantined requests, once for the same set of crashes."""
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
             suspect = self.suspects.book.suspect(fingerprint, now_s)
             if suspect.standing is not Standing.SHUT_OUT:
                 continue
             endings = frozenset(suspect.endings)
-            if self._logged_shut_out.get(fingerprint) == endings:
+            if self._logged_quarantines.get(fingerprint) == endings:
                 continue
-            self._logged_shut_out[fingerprint] = endings
+            self._logged_quarantines[fingerprint] = endings
             log_shut_out(_log, suspect)
 
     def update_suspect_metrics(self) -> None:
@@ -226,7 +226,7 @@
                 self._on_findings(message)
 
     def announce_leaving(self) -> None:
-        """Announce the planned stop to the other entries, which send clients here."""
+        """Announce the planned stop to the other entries, which send callers here."""
         members = self.share_sync.members.live(time.monotonic())
         addresses = [member.peer_address for member in members]
         self.peer_messenger.send_leaving(
@@ -235,7 +235,7 @@
 
     def announce_prompt(self, endpoint_id: EndpointId, work_s: float) -> None:
         """Announce a long prompt sent to an endpoint to the other entries that have
-        clients.
+        callers.
 
         In a fleet of hundreds, a message to every entry would fill the links of those
         that send nothing to engines.
--- a/src/celerytrack/gateway/tail.py
+++ b/src/celerytrack/gateway/tail.py
@@ -32,7 +32,7 @@
     a topic that is written faster than the link carries it would lag further and
     further behind, as large configurations in quick succession do on a narrow link.
 
-    An offset is valid in one era only: when the log is restored from a snapshot, the
+    An offset is valid in one era only: when the log is restored from a backup, the
     newest record of each key is read anew. If the tail continued from its old offset,
     it would silently miss what was appended below that offset after the restore.
 
