--- a/src/celerytrack/gateway/draining.py
+++ b/src/celerytrack/gateway/draining.py
@@ -32,9 +32,9 @@
     log_event(_log, Event.PROCESS_STOPPING, in_flight=gateway.in_flight)
     for exchange in gateway.exchanges:
         exchange.shorten_deadline(stop.answers_end_s)
-    gateway.keeper.leave()
+    gateway.share_sync.publish_leaving()
     for _ in range(LEAVING_MESSAGE_COUNT):
-        gateway.tell_leaving()
+        gateway.announce_leaving()
         await asyncio.sleep(LEAVING_MESSAGE_INTERVAL_S)
     await asyncio.sleep(stop.serves_until_s - time.monotonic())
     log_stage(gateway, stop, listeners, "callers gone")
@@ -42,7 +42,7 @@
     gateway.closing = True
     log_stage(gateway, stop, listeners, "requests over")
     last_row_timeout_at_s = min(stop.closes_s, time.monotonic() + LAST_ROW_TIMEOUT_S)
-    await gateway.keeper.publish_last(last_row_timeout_at_s)
+    await gateway.share_sync.publish_final_row(last_row_timeout_at_s)
     log_stage(gateway, stop, listeners, "last row")
     await _wait_until(lambda: not listeners.unsent_bytes(), stop.closes_s)
     log_stage(gateway, stop, listeners, "answers sent")
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -81,18 +81,18 @@
         return set()
     endpoints = book.endpoints_on_trial(now_s)
     if standing is not Standing.CLEAR:
-        endpoints.update(gateway.suspects_at.elements())
+        endpoints.update(gateway.suspects_in_flight.elements())
     return endpoints
 
 
 def _choose(
     gateway: Gateway, exchange: Exchange, avoid: list[EndpointId], now_s: float
 ) -> Choice | None:
-    table = gateway.table
+    table = gateway.routing_table
     assert table is not None
     service = table.services.get(exchange.service)
     connections = service.max_connections if service else 1
-    load_times = gateway.load_times(now_s)
+    load_times = gateway.fleet_load_ratio(now_s)
     return gateway.endpoints.choose(
         exchange.need, load_times, connections, avoid, now_s
     )
@@ -108,7 +108,7 @@
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
     trial = Trial(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
-    members = gateway.keeper.members.live(now_s)
+    members = gateway.share_sync.members.live(now_s)
     others = [member.entry_id for member in members]
     if not await gateway.suspects.begin_probe(trial, others):
         return False
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -1,4 +1,4 @@
-"""What one entry process knows, shared by its tasks and handlers."""
+"""State of an entry process, shared by its tasks and handlers."""
 
 import collections
 import logging
@@ -17,16 +17,16 @@
 from celerytrack.gateway.connections import EndpointConnections
 from celerytrack.gateway.crash_detector import CrashDetector, CrashedEndpoint
 from celerytrack.gateway.exchange import Exchange
-from celerytrack.gateway.gifts import GiftClient
 from celerytrack.gateway.hedged_store import HedgedStore
-from celerytrack.gateway.peer_notes import (
-    NOTE_LEAST_S,
-    LeaveNote,
-    Note,
-    PeerNotes,
-    PromptNote,
+from celerytrack.gateway.peer_messages import (
+    MIN_PROMPT_WORK_S,
+    LeavingMessage,
+    LongPromptMessage,
+    PeerMessage,
+    PeerMessenger,
 )
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.peer_requests import PeerClient
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.gateway.suspect_sync import SuspectSync
 from celerytrack.gateway.telemetry import Telemetry
 from celerytrack.ids import EndpointId, EntryId, ServiceName
@@ -41,27 +41,27 @@
 _log = logging.getLogger(__name__)
 
 RETRY_SHARE = 0.7
-"""Share of the fleet-wide allowance for second attempts that entries use: an
-entry counts its own requests only, and callers are not spread evenly."""
+"""Part of the fleet-wide retry budget that entries use: an entry counts only its own
+requests, and callers are not spread evenly."""
 
 
 class Gateway:
     """State of one entry process.
 
-    :param settings: its place in the deployment.
-    :param started_s: when the process began, on the steady clock.
+    :param settings: settings of the process.
+    :param started_s: start of the process on the monotonic clock.
     :ivar exchanges: requests admitted and not yet answered.
     :ivar stop: the planned stop, once it has begun.
-    :ivar closing: the planned stop waits for no more requests.
+    :ivar closing: whether the planned stop no longer waits for requests.
     :ivar durations: how long requests of each route took.
-    :ivar config_known_at_s: up to when each configuration that was confirmed is
-        known here, on the steady clock.
-    :ivar endpoints_known_at_s: the same of the endpoints' registrations.
-    :ivar endpoints_took_s: how long the last read of them took.
-    :ivar endpoints_reachable: whether the last read of them was answered.
-    :ivar suspects: which requests end endpoints.
-    :ivar suspects_at: how many requests under suspicion this entry has at each
-        endpoint.
+    :ivar config_known_at_s: time on the monotonic clock up to which every confirmed
+        configuration is known here.
+    :ivar endpoints_known_at_s: the same for the endpoints' registrations.
+    :ivar endpoints_read_time_s: duration of the last read of the registrations.
+    :ivar endpoints_reachable: whether the store answered that read.
+    :ivar suspects: tracks which requests crash endpoints.
+    :ivar suspects_in_flight: number of suspected requests that this entry has in
+        flight at each endpoint.
     """
 
     def __init__(self, settings: ProcessSettings, started_s: float) -> None:
@@ -72,54 +72,54 @@
         self.rng = random.Random(self.boot_id)
         self.eras = EraTracker()
         self.store = HedgedStore(StoreClient(settings.store_address, self.eras))
-        self.gifts = GiftClient()
-        self.keeper = ShareKeeper(
+        self.peer_client = PeerClient()
+        self.share_sync = ShareSync(
             self.store,
             self.entry_id,
             settings.front_address or "",
             settings.peer_address,
             settings.zone,
-            self.gifts,
+            self.peer_client,
             started_s,
             settings.link_mbps,
             self.eras,
         )
         self.endpoints = EndpointBook(settings.zone, self.rng)
         self.endpoints_known = False
-        self.notes = PeerNotes(self._take_note)
-        self.table: RoutingTable | None = None
+        self.peer_messenger = PeerMessenger(self._on_peer_message)
+        self.routing_table: RoutingTable | None = None
         self.config_known_at_s = float("-inf")
         self.endpoints_known_at_s = float("-inf")
-        self.endpoints_took_s = 0.0
+        self.endpoints_read_time_s = 0.0
         self.endpoints_reachable = True
         self.telemetry = Telemetry()
-        self.eras.on_change(self._era_changed)
+        self.eras.on_change(self._on_era_change)
         self.in_flight = 0
         self.exchanges: set[Exchange] = set()
         self.stop: PlannedStop | None = None
         self.closing = False
         self.durations = Durations()
-        self._retries: dict[ServiceName, RetryBudget] = {}
+        self._retry_budgets: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
         self.ended_endpoints = CrashDetector(
-            self.endpoints.superseded, self._endpoint_ended
+            self.endpoints.superseded, self._on_endpoint_crash
         )
         self.suspects = SuspectSync(
             self.store,
             self.entry_id,
             self.boot_id,
             self.eras,
-            self._tell_findings,
-            self._log_shut_out,
+            self._send_findings,
+            self._log_quarantined,
         )
-        self.suspects_at: collections.Counter[EndpointId] = collections.Counter()
-        self._shut_out: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
+        self.suspects_in_flight: collections.Counter[EndpointId] = collections.Counter()
+        self._logged_quarantines: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
             MOST_SUSPECTS
         )
 
     @property
     def leaving(self) -> bool:
-        """Whether a planned stop has begun: callers are told to go elsewhere."""
+        """Whether a planned stop has begun: callers are sent to other entries."""
         return self.stop is not None
 
     @property
@@ -127,43 +127,44 @@
         """Whether callers should be sent here."""
         return (
             not self.leaving
-            and self.table is not None
+            and self.routing_table is not None
             and self.endpoints_known
             and self.suspects.loaded
-            and self.keeper.started
+            and self.share_sync.started
         )
 
     def config_age_s(self, now_s: float) -> float:
-        """How old what is known of the configuration is."""
+        """Age of the known configuration."""
         return now_s - self.config_known_at_s
 
     def may_deny(self, now_s: float) -> bool:
-        """Whether what the configuration here does not have does not exist.
+        """Whether a route or key that is missing here certainly does not exist.
 
-        A route or key that is in force may not have been heard of here: denied for
-        good, its callers would not ask another entry.
+        If the known configuration is too old, the route or key may be in force
+        elsewhere: after a final refusal its callers would not try another entry.
         """
         return self.config_age_s(now_s) < self.settings.config_in_force_s
 
-    def endpoints_late(self, now_s: float) -> bool:
-        """Whether the log answers, but an endpoint's leaving would be known too late.
+    def is_endpoint_view_stale(self, now_s: float) -> bool:
+        """Whether the log answers, but too slowly to learn in time that an endpoint
+        leaves.
 
-        On a link that callers fill a read takes seconds, and an endpoint that left
-        meanwhile looks ready; a request that is sent to it then waits as long for the
-        link again. Without the log, what is known stands.
+        On a link saturated by callers a read takes seconds, and an endpoint that left
+        meanwhile looks ready; a request sent to it then waits as long for the link
+        again. While the log is unreachable, the known registrations stay valid.
         """
         age_s = now_s - self.endpoints_known_at_s
-        arrives_s = age_s + self.endpoints_took_s
+        arrives_s = age_s + self.endpoints_read_time_s
         return self.endpoints_reachable and arrives_s > self.settings.leaving_known_s
 
-    def _era_changed(self, change: EraChange) -> None:
+    def _on_era_change(self, change: EraChange) -> None:
         self.telemetry.store_restores.inc()
-        if not self.keeper.started:
-            # What was read since this start may be of the copy.
+        if not self.share_sync.started:
+            # What this process has read so far may be from the backup.
             self.config_known_at_s = float("-inf")
         self.endpoints.restored()
 
-    def _endpoint_ended(self, ended: CrashedEndpoint) -> None:
+    def _on_endpoint_crash(self, ended: CrashedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
         log_event(
             _log,
@@ -180,84 +181,91 @@
         )
         found = self.suspects.tracker.witnessed(ending, ended.interrupted, now_s)
         self.suspects.publish(found)
-        self._log_shut_out(found)
+        self._log_quarantined(found)
 
-    def _tell_findings(self, findings: Findings) -> None:
-        members = self.keeper.members.live(time.monotonic())
+    def _send_findings(self, findings: Findings) -> None:
+        members = self.share_sync.members.live(time.monotonic())
         self.suspects.entry_count = len(members) + 1
         addresses = [member.peer_address for member in members]
-        self.notes.tell_findings(addresses, findings)
+        self.peer_messenger.send_findings(addresses, findings)
 
-    def _hear_findings(self, findings: Findings) -> None:
+    def _on_findings(self, findings: Findings) -> None:
         now_s = time.monotonic()
         for evidence in findings.seen:
             self.endpoints.ended(evidence.ending.endpoint_id, now_s)
         self.suspects.receive(findings)
 
-    def _log_shut_out(self, findings: Findings) -> None:
-        """Log once who is shut out by what was found."""
+    def _log_quarantined(self, findings: Findings) -> None:
+        """Log newly quarantined requests, once for the same set of crashes."""
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
             suspect = self.suspects.tracker.suspect(fingerprint, now_s)
             if suspect.standing is not Standing.SHUT_OUT:
                 continue
             endings = frozenset(suspect.endings)
-            if self._shut_out.get(fingerprint) == endings:
+            if self._logged_quarantines.get(fingerprint) == endings:
                 continue
-            self._shut_out[fingerprint] = endings
+            self._logged_quarantines[fingerprint] = endings
             log_shut_out(_log, suspect)
 
-    def count_suspects(self) -> None:
-        """Have the metrics tell how many requests are under suspicion."""
+    def update_suspect_metrics(self) -> None:
+        """Set the gauges of requests under suspicion."""
         suspects = self.suspects.tracker.suspects(time.monotonic())
         counts = collections.Counter(suspect.standing for suspect in suspects)
         for standing in (Standing.WATCHED, Standing.ALONE, Standing.SHUT_OUT):
             self.telemetry.suspects.labels(standing.value).set(counts[standing])
 
-    def _take_note(self, note: Note) -> None:
-        match note:
-            case PromptNote(endpoint_id, work_s):
+    def _on_peer_message(self, message: PeerMessage) -> None:
+        match message:
+            case LongPromptMessage(endpoint_id, work_s):
                 self.endpoints.note(endpoint_id, work_s, time.monotonic())
-            case LeaveNote(entry_id, started_s):
-                self.keeper.members.leaving(entry_id, started_s)
+            case LeavingMessage(entry_id, started_s):
+                self.share_sync.members.leaving(entry_id, started_s)
                 log_event(_log, Event.PEER_LEAVING, entry=entry_id)
             case Findings():
-                self._hear_findings(note)
+                self._on_findings(message)
 
-    def tell_leaving(self) -> None:
-        """Tell the others, who send callers here, that a planned stop has begun."""
-        members = self.keeper.members.live(time.monotonic())
+    def announce_leaving(self) -> None:
+        """Announce the planned stop to the other entries, which send callers here."""
+        members = self.share_sync.members.live(time.monotonic())
         addresses = [member.peer_address for member in members]
-        self.notes.tell_leaving(addresses, LeaveNote(self.entry_id, self.started_s))
+        self.peer_messenger.send_leaving(
+            addresses, LeavingMessage(self.entry_id, self.started_s)
+        )
+
+    def announce_prompt(self, endpoint_id: EndpointId, work_s: float) -> None:
+        """Announce a long prompt sent to an endpoint to the other entries that have
+        callers.
 
-    def tell_prompt(self, endpoint_id: EndpointId, work_s: float) -> None:
-        """Tell the others that have callers of a long prompt sent to an endpoint: in a
-        fleet of hundreds a note to each entry would fill the links of those that send
-        nothing to engines."""
-        if work_s < NOTE_LEAST_S:
+        In a fleet of hundreds, a message to every entry would fill the links of those
+        that send nothing to engines.
+        """
+        if work_s < MIN_PROMPT_WORK_S:
             return
-        division = self.keeper.members.division(time.monotonic())
+        division = self.share_sync.members.division(time.monotonic())
         addresses = [member.peer_address for member in division.sharers]
-        self.notes.tell_prompt(addresses, PromptNote(endpoint_id, work_s))
+        self.peer_messenger.send_long_prompt(
+            addresses, LongPromptMessage(endpoint_id, work_s)
+        )
 
-    def load_times(self, now_s: float) -> float:
-        """How many times the work of this entry the fleet does."""
-        return self.keeper.members.division(now_s).load_times
+    def fleet_load_ratio(self, now_s: float) -> float:
+        """Load of the fleet as a multiple of this entry's load."""
+        return self.share_sync.members.division(now_s).load_times
 
     def retry_budget(self, service: ServiceName, now_s: float) -> RetryBudget:
-        """The allowance for second attempts at ``service``."""
-        budget = self._retries.get(service)
+        """The retry budget for ``service``."""
+        budget = self._retry_budgets.get(service)
         if budget is None:
             share = RETRY_SHARE * self.settings.retry_slack / 2
-            burst = max(1.0, share / self.keeper.members.division(now_s).allowances)
+            burst = max(1.0, share / self.share_sync.members.division(now_s).allowances)
             budget = RetryBudget(self.settings.retry_ratio * RETRY_SHARE, burst)
-            self._retries[service] = budget
+            self._retry_budgets[service] = budget
         return budget
 
     async def close(self) -> None:
-        """Close the connections to endpoints and store."""
+        """Close all connections."""
         await self.ended_endpoints.close()
         await self.connections.close()
-        self.notes.close()
-        await self.gifts.close()
+        self.peer_messenger.close()
+        await self.peer_client.close()
         await self.store.close()
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -13,7 +13,7 @@
 import attrs
 
 from celerytrack.gateway.admission import RETRY_ELSEWHERE_AFTER_S, insufficient_tokens
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId
 from celerytrack.lab.after_return import Owed
 from celerytrack.lab.model_entry import ModelEntry
@@ -256,7 +256,7 @@
     async def _run(
         self,
         entry: ModelEntry,
-        keeper: ShareKeeper,
+        keeper: ShareSync,
         request: _Request,
         held: Reservation,
     ) -> None:
@@ -271,7 +271,7 @@
         try:
             await asyncio.sleep(request.work.takes_s)
             now_s = loop.time() + entry.clock.steady_ahead_s
-            keeper.book.commit(held, request.input_tokens + given, now_s)
+            keeper.budgets.commit(held, request.input_tokens + given, now_s)
         except asyncio.CancelledError:
             part = min(1.0, (loop.time() - began_s) / request.work.takes_s)
             given = int(given * part)
