--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -1,5 +1,5 @@
-"""The steps every request passes before it is sent anywhere: the checks,
-the reservation of its cost, and the choice of a replica."""
+"""Admission: the checks of a request, the reservation of its cost and the choice
+of a replica. All of it comes before the request is sent to a back end."""
 
 import contextlib
 import hashlib
@@ -26,19 +26,19 @@
 from celerytrack.verdict import Reason, did_not_run, may_have_run
 
 GRANT_WAIT_S = 1.0
-"""Longest a request waits for a grant that is on its way."""
+"""Timeout of the wait for a grant that was requested."""
 UNREACHABLE_WAIT_S = 0.25
-"""The same while the ledger does not answer: long enough for one lost reply,
-short enough that a caller refused in a partition hears it at once."""
+"""The same timeout while the ledger does not answer. It covers one lost reply, and
+a caller refused during a partition still gets its refusal at once."""
 _RETRY_AFTER_S = 2.0
 
 
 @attrs.frozen
 class Admitted:
-    """A request that passed the checks, before anything is reserved.
+    """A request that passed the checks; nothing is reserved for it yet.
 
     :ivar key: the caller's idempotency key, if it sent one.
-    :ivar cache_key: ``account:key``, where answers and intents are kept.
+    :ivar cache_key: ``account:key``, the key of its stored answer and its intent.
     """
 
     body: Any
@@ -50,12 +50,12 @@
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What a repeat of it has as well, whatever its key."""
+        """Identifies repeats of the request, whatever their idempotency key."""
         return fingerprint(self.work, self.account.account_id, self.body)
 
 
 def request_id_for(account: str, key: str | None) -> RequestId:
-    """The request id: derived from the idempotency key, so retries share it."""
+    """The request id; derived from the idempotency key, so that retries share it."""
     if key is None:
         return RequestId(uuid.uuid4().hex)
     return RequestId(hashlib.sha256(f"{account}\x00{key}".encode()).hexdigest()[:24])
@@ -64,7 +64,7 @@
 def current_config(state: EntryState) -> Config:
     """The configuration in force.
 
-    :raises RefusedError: ``did_not_run`` before the first one is read.
+    :raises RefusedError: ``did_not_run`` until the first configuration is read.
     """
     if state.config.config is None:
         raise RefusedError(did_not_run(Reason.NO_CAPACITY, 1.0, "no config yet"))
@@ -72,9 +72,9 @@
 
 
 def authenticate(request: web.Request, config: Config) -> Account:
-    """The account whose key signs the request.
+    """The account of the bearer key in the request.
 
-    :raises RefusedError: ``bad_key`` for an unknown one.
+    :raises RefusedError: ``bad_key`` if no account has that key.
     """
     header = request.headers.get("Authorization", "")
     key = header.removeprefix("Bearer ").strip()
@@ -85,10 +85,10 @@
 
 
 async def admit(state: EntryState, request: web.Request, kind: BackendKind) -> Admitted:
-    """The checks every request passes before anything is reserved.
+    """Check a request before anything is reserved for it.
 
-    :raises RefusedError: ``did_not_run`` for a bad body, key or class,
-        while draining, or for a non-idempotent call without a key.
+    :raises RefusedError: ``did_not_run`` for a bad body, key or class, while the
+        entry is draining, or for a non-idempotent call without an idempotency key.
     """
     name = request.match_info.get("work_class", "?")
     try:
@@ -132,9 +132,9 @@
     replay: Callable[[StoredAnswer], Awaitable[web.StreamResponse]],
     serve: Callable[[Admitted], Awaitable[web.StreamResponse]],
 ) -> web.StreamResponse:
-    """Answer one request: replay a stored answer, serve, or refuse.
+    """Answer one request: replay a stored answer, serve it, or refuse it.
 
-    :param replay: answers a retry whose answer is still kept.
+    :param replay: answers a retry whose answer is still stored.
     :param serve: serves an admitted request; may raise ``RefusedError``.
     """
     try:
@@ -154,16 +154,16 @@
 
 
 def standing_of(state: EntryState, admitted: Admitted, now_s: float) -> Standing:
-    """What a request is taken for: replicas may have ended under it."""
+    """Whether the request is suspected of crashing replicas, and how strongly."""
     if not state.suspects.book:
         return Standing.CLEAR
     return state.suspects.standing(admitted.fingerprint, admitted.work, now_s)
 
 
 def hold_back(state: EntryState, admitted: Admitted, now_s: float) -> None:
-    """Refuse at once what no replica gets.
+    """Refuse a quarantined request before anything is reserved for it.
 
-    :raises RefusedError: if replicas ended under the request time and again.
+    :raises RefusedError: if replicas crashed repeatedly while they ran the request.
     """
     if standing_of(state, admitted, now_s) is Standing.SHUT_OUT:
         raise RefusedError(state.suspects.held_back(admitted.fingerprint, now_s))
@@ -171,25 +171,25 @@
 
 @contextlib.contextmanager
 def _in_progress(state: EntryState, admitted: Admitted) -> Iterator[None]:
-    """Count a request in flight, and hold its idempotency key.
+    """Count a request in flight and lock its idempotency key.
 
-    :raises RefusedError: ``may_have_run`` if the same key is in flight:
-        the first may already be running, so this one must not start.
+    :raises RefusedError: ``may_have_run`` if a request with the same key is in
+        flight. That one may already be running, so this one must not start.
     """
-    held = admitted.key is not None
-    if held and admitted.cache_key in state.answers.running:
+    has_key = admitted.key is not None
+    if has_key and admitted.cache_key in state.answers.running:
         raise RefusedError(
             may_have_run(
                 Reason.DUPLICATE_IN_FLIGHT, 1.0, "same idempotency key in progress"
             )
         )
     state.enter()
-    if held:
+    if has_key:
         state.answers.running.add(admitted.cache_key)
     try:
         yield
     finally:
-        if held:
+        if has_key:
             state.answers.running.discard(admitted.cache_key)
         state.leave()
 
@@ -197,27 +197,28 @@
 async def reserve(state: EntryState, admitted: Admitted, cost: int) -> Reservation:
     """Reserve ``cost`` tokens, waiting a bounded time for a grant.
 
-    :raises RefusedError: ``did_not_run``, saying whether the budget is used
-        up, held by other entries, or the ledger out of reach.
+    :raises RefusedError: ``did_not_run``; its reason says whether the budget is used
+        up, other entries hold it, or the ledger is unreachable.
     """
     keeper, account = state.keeper, admitted.account.account_id
-    started = time.monotonic()
+    started_s = time.monotonic()
     synced = False
     while True:
-        now = time.monotonic()
-        reservation = keeper.book.reserve(admitted.request_id, account, cost, now)
-        keeper.want(account, cost, now)
+        now_s = time.monotonic()
+        reservation = keeper.book.reserve(admitted.request_id, account, cost, now_s)
+        keeper.want(account, cost, now_s)
         if reservation is not None:
             return reservation
-        available = keeper.book.available(account, now)
+        available = keeper.book.available(account, now_s)
         free = keeper.free_tokens(account)
         elsewhere = keeper.elsewhere_tokens(account)
         wait_s = GRANT_WAIT_S if keeper.reachable else UNREACHABLE_WAIT_S
-        left_s = started + wait_s - now
+        left_s = started_s + wait_s - now_s
         exhausted = keeper.reachable and available + free + elsewhere < cost
         if exhausted and not synced:
-            # The fold may lag behind a top-up that the caller knows of: a
-            # final refusal from it would be false. Look again, once.
+            # The replayed ledger may lag behind a top-up that the caller already
+            # knows of, and a final refusal based on it would be wrong. Read the
+            # ledger to its end once before refusing.
             if not await keeper.sync(max(left_s, UNREACHABLE_WAIT_S)):
                 detail = "the ledger does not answer"
                 raise RefusedError(
@@ -237,19 +238,19 @@
 def place(
     state: EntryState, work: WorkClass, ask: Ask, avoid: frozenset[ReplicaId]
 ) -> ReplicaLoad:
-    """The replica to send a request to.
+    """Choose the replica to send a request to.
 
-    :param avoid: replicas that failed this request already.
-    :raises RefusedError: ``no_capacity`` / ``did_not_run`` with a time to
-        come back.
+    :param avoid: replicas that have already failed this request.
+    :raises RefusedError: ``no_capacity`` and ``did_not_run``, with a
+        ``retry_after_s``.
     """
     now_s = time.time()
     zone = state.spec.zone
     replicas = [r for r in state.view.replicas.values() if r.replica_id not in avoid]
     replica = None
     if avoid:
-        # A request that failed once is not put on trial at another replica
-        # that failed lately, or it would use up its attempts on trials.
+        # A request that has failed once is not used to probe another replica that
+        # failed lately, or it could spend all its attempts on probes.
         sound = [r for r in replicas if r.sound]
         replica = state.choose(sound, ask, zone, now_s)
     replica = replica or state.choose(replicas, ask, zone, now_s)
--- a/src/celerytrack/entry/claims.py
+++ b/src/celerytrack/entry/claims.py
@@ -1,9 +1,9 @@
-"""Claiming a non-idempotent call, so that it runs at most once.
+"""Claims on non-idempotent calls, so that each call runs at most once.
 
-Before an entry sends such a call (an answer-check, a claim filing) it
-records its intent on the ledger; the first intent for an idempotency key
-owns the call. A retry anywhere finds the key: it gets the stored answer, or
-``may_have_run`` while the outcome is unknown.
+Before an entry sends such a call (an answer-check, a claim filing) it records an
+intent on the ledger. The first intent for an idempotency key owns the call. A retry
+at any entry finds that intent and gets the stored answer, or ``may_have_run`` while
+the outcome is unknown.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from celerytrack.ledger import IntentState, Ledger
 
 _CLAIM_WAIT_S = 2.0
-"""Longest a non-idempotent call waits for its intent to be recorded."""
+"""Timeout of the wait for an intent to be recorded on the ledger."""
 _MAX_ANSWER_BYTES = 16_384
 
 
@@ -26,21 +26,22 @@
     """The outcome of claiming a non-idempotent call."""
 
     OWNED = "owned"
-    """The ledger shows our intent first: we may send the call, once."""
+    """This attempt's intent is the first on the ledger: it may send the call once."""
     STARTED = "started"
     """Another attempt owns the call and it may have run."""
     FINISHED = "finished"
-    """The call ran; its answer is at hand."""
+    """The call ran and its answer is stored."""
     UNREACHABLE = "unreachable"
-    """The intent could not be recorded in time: do not send the call."""
+    """The intent was not recorded in time, so the call must not be sent."""
 
 
 @attrs.frozen
 class Claim:
-    """Who may send a non-idempotent call.
+    """The result of claiming a non-idempotent call.
 
-    :ivar claim_id: this attempt's id, named again when it finishes.
-    :ivar answer: the stored answer, when finished.
+    :ivar claim_id: id of the attempt that owns the call; its ``finished`` or
+        ``abandoned`` record repeats it.
+    :ivar answer: the stored answer if the call has finished.
     """
 
     state: ClaimState
@@ -52,7 +53,8 @@
     """This entry's claims on the ledger.
 
     :param writer: appends the records.
-    :param ledger: gives the entry's fold, which a restore replaces.
+    :param ledger: returns the entry's replayed ledger; restoring a snapshot replaces
+        that object.
     """
 
     def __init__(self, writer: LedgerWriter, ledger: Callable[[], Ledger]) -> None:
@@ -63,9 +65,9 @@
     async def claim(self, key: str) -> Claim:
         """Record the intent to run the non-idempotent call ``key``.
 
-        The call may be sent only if the fold shows our intent as the first:
-        whatever was known before is no proof, since another entry may be
-        recording its own at this moment.
+        The call may be sent only once the replayed ledger shows this intent as the
+        first. Its state before that proves nothing, since another entry may be
+        recording its own intent at the same moment.
         """
         known = self.known_claim(key)
         if known is not None:
@@ -87,7 +89,7 @@
         return self.known_claim(key) or Claim(ClaimState.UNREACHABLE)
 
     def known_claim(self, key: str) -> Claim | None:
-        """The claim that the fold shows for ``key``, if any."""
+        """The claim on ``key`` in the replayed ledger, if there is one."""
         found = self._ledger().intents.get(key)
         if found is None:
             return None
@@ -96,14 +98,18 @@
         return Claim(ClaimState.STARTED, found.claim_id)
 
     def abandon(self, key: str, claim_id: str) -> None:
-        """Free ``key``: the call it stands for was never sent.
+        """Free ``key``, whose call was never sent.
 
-        Queued behind the intent, so it also frees an intent that lands late.
+        The record is queued after the intent, so it also cancels an intent that
+        reaches the ledger late.
         """
         self._writer.submit({"type": "abandoned", "key": key, "claim_id": claim_id})
 
     def finish(self, key: str, claim_id: str, answer: Any) -> None:
-        """Record the answer of the call ``key`` for its retries."""
+        """Record the answer of the call ``key`` for its retries.
+
+        An answer longer than ``_MAX_ANSWER_BYTES`` is not stored.
+        """
         if len(str(answer)) > _MAX_ANSWER_BYTES:
             return
         self._writer.submit(
