--- a/src/celerytrack/entry/charging.py
+++ b/src/celerytrack/entry/charging.py
@@ -1,4 +1,4 @@
-"""Billing a finished request, once, before its caller is told it is done."""
+"""Bills a finished request once, before its caller gets the end of the answer."""
 
 import asyncio
 import logging
@@ -14,32 +14,35 @@
 _log = logging.getLogger(__name__)
 
 BILL_WAIT_S = 2.0
-"""Longest the end of an answer waits for its bill to be on the log."""
+"""Timeout of the wait for a bill to be on the log; the end of the answer waits for
+it."""
 
 _unconfirmed: set[asyncio.Task[BillOutcome]] = set()
-"""Bills still on their way after their caller was answered; the event loop
-alone would not keep their tasks alive."""
+"""Tasks of bills that are still queued after their caller was answered. The event
+loop keeps only weak references to tasks."""
 
 
 async def charge(
     state: EntryState, admitted: Admitted, reservation: Reservation, spent: int
 ) -> None:
-    """Bill ``spent`` tokens of ``reservation`` and wait until it is on the log.
+    """Bill ``spent`` tokens of ``reservation`` and wait until the bill is on the log.
 
-    :raises RefusedError: ``may_have_run``, if the grants were closed while
-        the request ran and the account cannot cover it any more.
+    The wait ends after :data:`BILL_WAIT_S`; the bill then stays queued.
+
+    :raises RefusedError: ``may_have_run`` if the grants were closed while the request
+        ran and the account can no longer cover it.
     """
     outcome = await _bill(state, admitted, reservation, spent)
     if outcome is BillOutcome.VOID:
-        # The request outlived its grant (this entry was paused past its
-        # lease and the grant taken back): the answer must not go out as
+        # The grant was closed while the request ran: this entry was paused past its
+        # lease and another entry reclaimed the grant. The answer must not end as
         # complete until other tokens of the account have paid for it.
         try:
-            again = await reserve(state, admitted, spent)
+            second = await reserve(state, admitted, spent)
         except RefusedError as exc:
             lost = may_have_run(exc.refusal.reason, None, "grant lost while it ran")
             raise RefusedError(lost) from None
-        outcome = await _bill(state, admitted, again, spent)
+        outcome = await _bill(state, admitted, second, spent)
     if outcome is BillOutcome.CHARGED:
         state.metrics.billed_tokens.inc(spent)
 
@@ -57,8 +60,8 @@
     try:
         return await asyncio.wait_for(asyncio.shield(task), BILL_WAIT_S)
     except TimeoutError:
-        # The log is down: the bill stays queued and is appended when it
-        # comes back; the caller is not held longer for it.
+        # The log is down. The bill stays queued and is appended once the log is
+        # back; the caller does not wait for it.
         log_event(
             _log,
             Event.BILLS_FLUSH_FAILED,
--- a/src/celerytrack/entry/claims.py
+++ b/src/celerytrack/entry/claims.py
@@ -106,10 +106,7 @@
         self._writer.submit({"type": "abandoned", "key": key, "claim_id": claim_id})
 
     def finish(self, key: str, claim_id: str, answer: Any) -> None:
-        """Record the answer of the call ``key`` for its retries.
-
-        An answer longer than ``_MAX_ANSWER_BYTES`` is not stored.
-        """
+        """Record the answer of the call ``key`` for its retries."""
         if len(str(answer)) > _MAX_ANSWER_BYTES:
             return
         self._writer.submit(
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -1,5 +1,5 @@
-"""Sending one request to back ends: what a failed attempt proves, and when
-another replica is tried."""
+"""Sends one request to back ends: whether a failed attempt may have run the request,
+and whether another replica is tried."""
 
 import asyncio
 import enum
@@ -30,19 +30,20 @@
 T = TypeVar("T")
 
 TRIAL_MOST_S = 60.0
-"""Longest that a request is held to be tried alone, unless its entry says otherwise."""
+"""Longest trial of a suspect request, unless the entry that runs it reports
+otherwise."""
 ATTEMPTS = 3
-"""Replicas tried in a row, without a token of the answer, for one request."""
+"""Consecutive attempts of one request that may end without a token of the answer."""
 NEVER_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""Errors raised before a connection was made: the back end saw nothing."""
+"""Errors raised before a connection was made: the back end received nothing."""
 CONNECTION_FAILED = (aiohttp.ClientError, TimeoutError, ConnectionError)
-"""Errors of a connection that existed: the request may have been read."""
+"""Errors of an established connection: the back end may have read the request."""
 _NOT_RUN_STATUSES = frozenset({400, 404, 408, 421, 429, 503})
-"""Statuses by which a back end promises that it did not run the request."""
+"""Statuses by which a back end guarantees that it did not run the request."""
 
 
 class GivenUp(enum.Enum):
-    """Why a request is not tried at another replica."""
+    """Why a failed request is not retried at another replica."""
 
     ATTEMPTS = "attempts"
     NOT_IDEMPOTENT = "not_idempotent"
@@ -51,17 +52,18 @@
 
 
 def unreachable() -> Refusal:
-    """No connection to the back end could be made."""
+    """The refusal if no connection to the back end could be made."""
     return did_not_run(Reason.UPSTREAM_FAILED, 1.0, "back end unreachable")
 
 
 def failed() -> Refusal:
-    """The connection failed after the request may have been read."""
+    """The refusal if the connection failed after the back end may have read the
+    request."""
     return may_have_run(Reason.UPSTREAM_FAILED, 1.0, "back end failed")
 
 
 def bad_status(status: int) -> Refusal:
-    """The back end answered with another status than 200."""
+    """The refusal if the back end answered with a status other than 200."""
     detail = f"back end answered {status}"
     if status in _NOT_RUN_STATUSES:
         return did_not_run(Reason.UPSTREAM_FAILED, 1.0, detail)
@@ -69,47 +71,49 @@
 
 
 def out_of_time() -> Refusal:
-    """The entry stops, and the back end has not answered in the time left."""
+    """The refusal if the entry stops before the back end's answer is complete."""
     detail = "the entry stopped before the answer was whole; ask /v1/route again"
     return may_have_run(Reason.DEADLINE, 0.0, detail)
 
 
 def not_begun() -> Refusal:
-    """The entry stops, and no time is left to send the request anywhere."""
+    """The refusal if the entry stops before the request was sent to a back end."""
     detail = "entry is draining; ask /v1/route again"
     return did_not_run(Reason.DRAINING, 0.0, detail)
 
 
 @attrs.define
-class _Tries:
-    """What the attempts of one request have come to so far.
-
-    :ivar begun: its caller has a part of the answer.
-    :ivar fruitless: the last attempts in a row that brought it nothing.
-    :ivar avoid: replicas that failed it since its last token.
-    :ivar refusal: what it is answered if no attempt succeeds; once one may
-        have run, that stands, however the later ones end.
+class _AttemptHistory:
+    """The state of one request's attempts.
+
+    :ivar streaming: the caller has received a part of the answer.
+    :ivar failed_in_row: consecutive failed attempts that produced no token.
+    :ivar avoid: replicas that failed the request since its last token.
+    :ivar refusal: the answer if no attempt succeeds. Once an attempt may have run,
+        its refusal is kept, however later attempts end.
     """
 
-    begun: bool = False
-    fruitless: int = 0
+    streaming: bool = False
+    failed_in_row: int = 0
     avoid: frozenset[ReplicaId] = frozenset()
     refusal: Refusal | None = None
 
     def ask(self, ask: Ask) -> Ask:
-        """What the next attempt asks for: a begun answer is not shed for more
-        urgent requests, which could still be refused."""
-        return attrs.evolve(ask, priority=0) if self.begun else ask
+        """The next attempt's placement request.
 
-    def failed(self, sent: Attempt, refusal: Refusal) -> None:
-        """Count an attempt that failed: one that brought the answer further
-        is as good as a fresh start."""
+        A started answer gets the top priority: it is not shed in favor of more
+        urgent requests, which can still be refused.
+        """
+        return attrs.evolve(ask, priority=0) if self.streaming else ask
+
+    def record_failure(self, sent: Attempt, refusal: Refusal) -> None:
+        """Count a failed attempt; one that produced tokens resets the count."""
         if sent.answered:
-            self.begun = True
-            self.fruitless = 0
+            self.streaming = True
+            self.failed_in_row = 0
             self.avoid = frozenset()
         else:
-            self.fruitless += 1
+            self.failed_in_row += 1
         self.avoid |= {sent.replica.replica_id}
         if self.refusal is None or refusal.verdict is Verdict.MAY_HAVE_RUN:
             self.refusal = refusal
@@ -121,32 +125,32 @@
     ask: Ask,
     attempt: Callable[[Attempt], Awaitable[Result[T, Refusal]]],
 ) -> Result[T, Refusal]:
-    """Make ``attempt`` on one replica after another until one succeeds.
+    """Run ``attempt`` on one replica after another until one succeeds.
 
-    :returns: the first success, or why the request was given up.
+    :returns: the first success, or the refusal that the caller gets.
     """
     state.retries.request()
-    tries = _Tries()
+    history = _AttemptHistory()
     work, request_id = admitted.work, admitted.request_id
     while True:
         if state.attempts_limit.is_over(time.monotonic()):
-            return Failure(tries.refusal or not_begun())
+            return Failure(history.refusal or not_begun())
         standing = standing_of(state, admitted, time.monotonic())
         if standing is Standing.SHUT_OUT:
-            return Failure(tries.refusal or _held_back(state, admitted))
+            return Failure(history.refusal or _quarantine_refusal(state, admitted))
         try:
-            replica = _place(state, admitted, tries, ask, standing)
+            replica = _choose_replica(state, admitted, history, ask, standing)
         except RefusedError as exc:
-            if tries.refusal is not None:
+            if history.refusal is not None:
                 _log_given_up(request_id, GivenUp.NO_REPLICA, exc.refusal)
-            return Failure(tries.refusal or exc.refusal)
+            return Failure(history.refusal or exc.refusal)
         if standing is Standing.ALONE and not await state.suspects.claim(
             admitted.fingerprint, replica.replica_id, TRIAL_MOST_S
         ):
-            return Failure(tries.refusal or _held_back(state, admitted))
+            return Failure(history.refusal or _quarantine_refusal(state, admitted))
         now_s = time.time()
-        guess_s = predicted_s(replica, replica.load(now_s), ask, Placement())
-        sent = replica.send(ask, guess_s, now_s)
+        first_token_s = predicted_s(replica, replica.load(now_s), ask, Placement())
+        sent = replica.send(ask, first_token_s, now_s)
         suspected = standing is not Standing.CLEAR
         if suspected:
             state.suspects.sent(replica.replica_id)
@@ -157,60 +161,65 @@
             state.suspects.release(admitted)
             return Failure(out_of_time())
         except BaseException:
-            # The caller left, or the process ends: the trial showed nothing.
+            # The caller disconnected or the process stops: the trial has no result.
             state.suspects.release(admitted)
             raise
         finally:
             sent.ended(time.time())
             if suspected:
                 state.suspects.over(replica.replica_id)
-        _note_ending(state, admitted, replica.replica_id, result)
+        _record_outcome(state, admitted, replica.replica_id, result)
         match result:
             case Success(_):
                 replica.succeeded()
                 return result
             case Failure(refusal):
                 replica.failed(time.time())
-                _log_failed(request_id, replica.replica_id, refusal)
-                tries.failed(sent, refusal)
-                why = _given_up(state, work, refusal, tries)
+                _log_attempt_failed(request_id, replica.replica_id, refusal)
+                history.record_failure(sent, refusal)
+                why = _reason_not_to_retry(state, work, refusal, history)
                 if why is not None:
                     _log_given_up(request_id, why, refusal)
-                    return Failure(tries.refusal or refusal)
-        await asyncio.sleep(backoff_s(max(tries.fruitless - 1, 0), state.rng))
+                    return Failure(history.refusal or refusal)
+        await asyncio.sleep(backoff_s(max(history.failed_in_row - 1, 0), state.rng))
 
 
-def _place(
+def _choose_replica(
     state: EntryState,
     admitted: Admitted,
-    tries: _Tries,
+    history: _AttemptHistory,
     ask: Ask,
     standing: Standing,
 ) -> ReplicaLoad:
-    """A replica for the next attempt, apart from suspects where there is room.
+    """Choose the replica of the next attempt.
+
+    As long as some replica has room, the request is not sent to one with a trial in
+    progress, and a suspect request not to one that runs another suspect.
 
-    :raises RefusedError: if none has room.
+    :raises RefusedError: if no replica has room.
     """
-    apart = state.suspects.apart(standing, time.monotonic())
-    if apart:
+    isolated = state.suspects.apart(standing, time.monotonic())
+    if isolated:
         try:
-            return place(state, admitted.work, tries.ask(ask), tries.avoid | apart)
+            return place(
+                state, admitted.work, history.ask(ask), history.avoid | isolated
+            )
         except RefusedError:
             pass
-    return place(state, admitted.work, tries.ask(ask), tries.avoid)
+    return place(state, admitted.work, history.ask(ask), history.avoid)
 
 
-def _held_back(state: EntryState, admitted: Admitted) -> Refusal:
+def _quarantine_refusal(state: EntryState, admitted: Admitted) -> Refusal:
     return state.suspects.held_back(admitted.fingerprint, time.monotonic())
 
 
-def _note_ending(
+def _record_outcome(
     state: EntryState,
     admitted: Admitted,
     replica: ReplicaId,
     result: Result[T, Refusal],
 ) -> None:
-    """Hold against a request, or for it, how its attempt ended."""
+    """Report the outcome of an attempt to the tracking of crashing requests."""
     suspects = state.suspects
     match result:
         case Success(_):
@@ -223,22 +232,25 @@
             suspects.release(admitted)
 
 
-def _given_up(
-    state: EntryState, work: WorkClass, refusal: Refusal, tries: _Tries
+def _reason_not_to_retry(
+    state: EntryState, work: WorkClass, refusal: Refusal, history: _AttemptHistory
 ) -> GivenUp | None:
-    """Why the attempt that failed is the last; takes the retry if it is not."""
-    if tries.fruitless == ATTEMPTS:
+    """Why the failed attempt is not retried; ``None`` if it is, which takes a token
+    of the retry budget unless the answer has started."""
+    if history.failed_in_row == ATTEMPTS:
         return GivenUp.ATTEMPTS
     if not may_retry(refusal, work.idempotent):
         return GivenUp.NOT_IDEMPOTENT
-    # A begun answer cannot be refused any more, only cut, and a caller that
-    # comes back for a cut one makes the engines do all of it again.
-    if not tries.begun and not state.retries.take():
+    # A started answer can only be cut, not refused, and a caller that retries a cut
+    # answer makes the engines generate all of it again.
+    if not history.streaming and not state.retries.take():
         return GivenUp.RETRY_BUDGET
     return None
 
 
-def _log_failed(request_id: RequestId, replica: ReplicaId, refusal: Refusal) -> None:
+def _log_attempt_failed(
+    request_id: RequestId, replica: ReplicaId, refusal: Refusal
+) -> None:
     log_event(
         _log,
         Event.ATTEMPT_FAILED,
