--- a/src/celerytrack/entry/answers.py
+++ b/src/celerytrack/entry/answers.py
@@ -1,8 +1,8 @@
-"""Answers kept by idempotency key, so a retry gets the same answer.
+"""Cache of finished answers by idempotency key, so that a retry gets the same answer.
 
-Bounded in bytes; the answers least recently used are forgotten first. A
-retry whose answer was forgotten runs again and is still not billed twice:
-the ledger remembers request ids for longer.
+The cache is bounded in bytes and evicts the least recently used answers. A retry
+whose answer was evicted runs again but is not billed twice, since the ledger keeps
+request ids for longer.
 """
 
 import json
@@ -17,7 +17,11 @@
 
 @attrs.frozen
 class StoredAnswer:
-    """A finished request's answer: a stream's events or a service's JSON."""
+    """The answer of a finished request.
+
+    :ivar stream: the events of a streamed answer.
+    :ivar body: the JSON value of a service call.
+    """
 
     request_id: str
     stream: bytes = b""
@@ -25,27 +29,26 @@
 
     @property
     def size_bytes(self) -> int:
-        """About what keeping it costs."""
+        """Approximate memory that the stored answer takes."""
         body = 0 if self.body is None else len(json.dumps(self.body))
         return len(self.stream) + body + _OVERHEAD_BYTES
 
 
-def _cache() -> LRUCache[str, StoredAnswer]:
+def _make_cache() -> LRUCache[str, StoredAnswer]:
     return LRUCache(KEPT_BYTES, getsizeof=lambda answer: answer.size_bytes)
 
 
 @attrs.define
 class AnswerCache:
-    """Finished answers and keys in progress, by ``account:key``."""
+    """Finished answers, and the keys of requests in progress, by ``account:key``."""
 
-    done: LRUCache[str, StoredAnswer] = attrs.field(factory=_cache)
+    done: LRUCache[str, StoredAnswer] = attrs.field(factory=_make_cache)
     running: set[str] = attrs.field(factory=set)
 
     def get(self, key: str) -> StoredAnswer | None:
-        """The stored answer for ``key``, or ``None``."""
         return self.done.get(key)
 
     def put(self, key: str, answer: StoredAnswer) -> None:
-        """Keep ``answer`` for ``key``, if it is not too large to keep."""
+        """Store ``answer`` for ``key`` unless it is larger than the whole cache."""
         if answer.size_bytes <= KEPT_BYTES:
             self.done[key] = answer
--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -34,20 +34,20 @@
 _log = logging.getLogger(__name__)
 
 _END_WAIT_S = 0.1
-"""Longest to wait for the end of a response behind its last event."""
+"""Timeout of the wait for the end of an engine's response after its last event."""
 
 
-class _CallerGoneError(Exception):
-    """The caller closed its connection before the answer was whole."""
+class _CallerDisconnectedError(Exception):
+    """The caller closed its connection before the answer was complete."""
 
 
-class _EngineCutError(Exception):
-    """The engine's stream broke before its end."""
+class _StreamCutError(Exception):
+    """The engine's stream ended before the answer was complete."""
 
 
 @attrs.define
 class _Answer:
-    """One answer on its way to its caller."""
+    """One answer in progress."""
 
     admitted: Admitted
     prompt_tokens: int
@@ -63,7 +63,6 @@
 
 
 async def chat(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """Handle one request."""
     started_s = time.monotonic()
 
     async def replay(stored: StoredAnswer) -> web.StreamResponse:
@@ -71,12 +70,12 @@
         return await _replay(request, stored)
 
     async def serve(admitted: Admitted) -> web.StreamResponse:
-        return await _serve(state, request, _answer(admitted, started_s))
+        return await _serve(state, request, _new_answer(admitted, started_s))
 
     return await handle(state, request, BackendKind.ENGINE, replay, serve)
 
 
-def _answer(admitted: Admitted, started_s: float) -> _Answer:
+def _new_answer(admitted: Admitted, started_s: float) -> _Answer:
     work = admitted.work
     prompt = prompt_text(admitted.body)
     asked = admitted.body.get("max_tokens")
@@ -101,8 +100,8 @@
             answer.ask,
             lambda sent: _stream_from(state, request, sent, answer),
         )
-    except _CallerGoneError:
-        await _end_unwanted(state, answer, reservation)
+    except _CallerDisconnectedError:
+        await _bill_disconnected(state, answer, reservation)
         raise ConnectionResetError from None
     except asyncio.CancelledError:
         state.keeper.book.release(reservation)
@@ -110,25 +109,25 @@
     match streamed:
         case Failure(refusal):
             state.keeper.book.release(reservation)
-            return await _fail(state, answer, refusal)
+            return await _answer_refusal(state, answer, refusal)
     try:
         await charge(state, answer.admitted, reservation, answer.spent_tokens)
     except RefusedError as exc:
-        return await _fail(state, answer, exc.refusal)
+        return await _answer_refusal(state, answer, exc.refusal)
     return await _finish(state, answer)
 
 
 async def _stream_from(
     state: EntryState, request: web.Request, sent: Attempt, answer: _Answer
 ) -> Result[None, Refusal]:
-    """Stream (the rest of) the answer from the replica of ``sent``."""
+    """Stream the answer, or the rest of it, from the replica of ``sent``."""
     body = {
         "model": answer.admitted.work.model,
         "messages": answer.admitted.body.get("messages") or [],
         "max_tokens": answer.max_tokens,
         "stream": True,
         "priority": answer.admitted.work.priority,
-        # Tokens the caller has already: the engine goes on behind them.
+        # The caller already has these tokens; the engine resumes after them.
         "resume_from": answer.relay.tokens,
     }
     url = f"http://{state.view.addresses[sent.replica.replica_id]}/v1/chat/completions"
@@ -142,21 +141,21 @@
     try:
         if upstream.status != 200:
             return Failure(bad_status(upstream.status))
-        await _pump(state, request, sent, upstream, answer)
+        await _relay_events(state, request, sent, upstream, answer)
         return Success(None)
-    except _EngineCutError:
+    except _StreamCutError:
         answer.relay.resumed()
         return Failure(may_have_run(Reason.UPSTREAM_CUT, 1.0, "engine stream cut"))
     finally:
-        # An engine stops work when its connection closes, and bytes left of
-        # this answer must not meet the next request: the connection is used
-        # again only once the engine has ended its response.
-        if not (answer.relay.complete and await _ended(upstream)):
+        # An engine stops generating when its connection closes. The rest of this
+        # answer must not be read as the next request's answer, so the connection is
+        # reused only if the engine has ended its response.
+        if not (answer.relay.complete and await _response_ended(upstream)):
             upstream.close()
 
 
-async def _ended(upstream: aiohttp.ClientResponse) -> bool:
-    """Whether the engine ends its response now that ``[DONE]`` was read."""
+async def _response_ended(upstream: aiohttp.ClientResponse) -> bool:
+    """Whether the engine ends its response after ``[DONE]``."""
     try:
         async with asyncio.timeout(_END_WAIT_S):
             return await upstream.content.readany() == b""
@@ -164,17 +163,17 @@
         return False
 
 
-async def _pump(
+async def _relay_events(
     state: EntryState,
     request: web.Request,
     sent: Attempt,
     upstream: aiohttp.ClientResponse,
     answer: _Answer,
 ) -> None:
-    """Pass the engine's events on until the answer is whole.
+    """Relay the engine's events until the answer is complete.
 
-    :raises _EngineCutError: if the engine's stream ends before.
-    :raises _CallerGoneError: if the caller's connection is closed.
+    :raises _StreamCutError: if the engine's stream ends before that.
+    :raises _CallerDisconnectedError: if the caller's connection is closed.
     """
     relay = answer.relay
     tokens_before = relay.tokens
@@ -182,9 +181,9 @@
         try:
             data = await upstream.content.readany()
         except CONNECTION_FAILED:
-            raise _EngineCutError from None
+            raise _StreamCutError from None
         if not data:
-            raise _EngineCutError
+            raise _StreamCutError
         out = relay.feed(data)
         if not out:
             continue
@@ -192,13 +191,13 @@
             sent.first_token(time.time())
         try:
             if answer.response is None:
-                answer.response = await _open(state, request, answer)
+                answer.response = await _start_response(state, request, answer)
             await answer.response.write(out)
         except ConnectionError:
-            raise _CallerGoneError from None
+            raise _CallerDisconnectedError from None
 
 
-async def _open(
+async def _start_response(
     state: EntryState, request: web.Request, answer: _Answer
 ) -> web.StreamResponse:
     work, rid = answer.admitted.work, answer.admitted.request_id
@@ -210,10 +209,10 @@
     return response
 
 
-async def _fail(
+async def _answer_refusal(
     state: EntryState, answer: _Answer, refusal: Refusal
 ) -> web.StreamResponse:
-    """Answer with ``refusal``: as the last event, if the answer had begun."""
+    """Answer with ``refusal``; as the last event if the stream has started."""
     if answer.response is None:
         raise RefusedError(refusal)
     log_event(
@@ -247,12 +246,13 @@
     return answer.response
 
 
-async def _end_unwanted(
+async def _bill_disconnected(
     state: EntryState, answer: _Answer, reservation: Reservation
 ) -> None:
-    """The caller left: what it got is billed, and the engine stops.
+    """Bill the tokens relayed to a caller that disconnected.
 
-    Otherwise a caller could read every answer but its last event for free.
+    Otherwise a caller could read every answer but its last event for free. The
+    engine has stopped by then, since its connection was closed.
     """
     state.metrics.requests.labels(answer.admitted.work.name, "caller_left").inc()
     if not answer.relay.tokens:
--- a/src/celerytrack/entry/refusals.py
+++ b/src/celerytrack/entry/refusals.py
@@ -1,4 +1,4 @@
-"""Turning refusals into HTTP answers."""
+"""HTTP responses for refusals."""
 
 import logging
 
@@ -13,9 +13,9 @@
 
 
 class RefusedError(Exception):
-    """Raised inside a handler to answer with a :class:`Refusal`.
+    """Raised in a handler to answer with a :class:`Refusal`.
 
-    :param work_class: the class named by the request, for metrics.
+    :param work_class: the request's class of work, for metrics.
     """
 
     def __init__(self, refusal: Refusal, work_class: str = "?") -> None:
@@ -25,7 +25,6 @@
 
 
 def refusal_response(refusal: Refusal) -> web.Response:
-    """The HTTP response for ``refusal``."""
     headers = {}
     if refusal.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, round(refusal.retry_after_s)))
@@ -40,9 +39,9 @@
     refusal: Refusal,
     request_id: RequestId | None = None,
 ) -> web.Response:
-    """Count, log and answer with ``refusal``.
+    """Count and log ``refusal``, and return its HTTP response.
 
-    :param request_id: the request's, once it is admitted.
+    :param request_id: ``None`` before the request is admitted.
     """
     metrics.refusals.labels(refusal.reason.value, refusal.verdict.value).inc()
     metrics.requests.labels(work_class, "refused").inc()
--- a/src/celerytrack/entry/service_calls.py
+++ b/src/celerytrack/entry/service_calls.py
@@ -1,4 +1,4 @@
-"""``POST /v1/services/{class}``: a plain-service call, JSON in and out."""
+"""``POST /v1/services/{class}``: a call to a plain service, JSON in and out."""
 
 import asyncio
 import logging
@@ -31,7 +31,6 @@
 
 
 async def service_call(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """Handle one call."""
     started_s = time.monotonic()
 
     async def replay(stored: StoredAnswer) -> web.StreamResponse:
@@ -52,30 +51,30 @@
 
 async def _serve(state: EntryState, admitted: Admitted) -> Any:
     if not admitted.work.idempotent:
-        # A call known to have been started must not be refused
-        # "did not run" below, for want of budget or of a replica.
+        # A call that is known to have started must not be refused with
+        # did_not_run below, for lack of budget or of a replica.
         known = state.claims.known_claim(admitted.cache_key)
         if known is not None:
-            return _answer_of(known)
+            return _stored_answer(known)
     cost = admitted.work.service_cost_tokens
     reservation = await reserve(state, admitted, cost)
     ask = Ask(admitted.work.model, admitted.work.priority)
     claim = Claim(ClaimState.OWNED)
     try:
-        # A replica with room is looked for before the intent is recorded,
-        # so that a call refused for capacity stays free to be tried again.
+        # Check that some replica has room before the intent is recorded, so that a
+        # call refused for lack of capacity can still be retried.
         place(state, admitted.work, ask, frozenset())
         if not admitted.work.idempotent:
             claim = await _claim(state, admitted)
         if claim.state is ClaimState.FINISHED:
             state.keeper.book.release(reservation)
-            return _answer_of(claim)
+            return _stored_answer(claim)
         answer = await _send(state, admitted, ask)
     except RefusedError as exc:
         state.keeper.book.release(reservation)
         if claim.claim_id and exc.refusal.verdict is Verdict.DID_NOT_RUN:
-            # Never sent, so the key is freed: left claimed, every retry
-            # elsewhere would be refused "may have run" for ever.
+            # The call was never sent, so free its key. If the claim remained, every
+            # retry at another entry would be refused with may_have_run forever.
             state.claims.abandon(admitted.cache_key, claim.claim_id)
         raise
     except asyncio.CancelledError:
@@ -104,25 +103,25 @@
     """Claim a non-idempotent call for this attempt.
 
     :returns: an owned claim, or a finished one with its answer.
-    :raises RefusedError: if another attempt owns the call (it may have
-        run), or the intent could not be recorded (nothing was sent).
+    :raises RefusedError: ``may_have_run`` if another attempt owns the call,
+        ``did_not_run`` if the intent could not be recorded.
     """
     claim = await state.claims.claim(admitted.cache_key)
     match claim.state:
         case ClaimState.OWNED:
             log_event(_log, Event.INTENT_RECORDED, request_id=admitted.request_id)
         case ClaimState.STARTED:
-            _answer_of(claim)
+            _stored_answer(claim)
         case ClaimState.UNREACHABLE:
             detail = "the intent could not be recorded"
             raise RefusedError(did_not_run(Reason.LEDGER_UNREACHABLE, 2.0, detail))
     return claim
 
 
-def _answer_of(claim: Claim) -> Any:
-    """The answer of a call that another attempt owns.
+def _stored_answer(claim: Claim) -> Any:
+    """The stored answer of a call that another attempt owns.
 
-    :raises RefusedError: ``may_have_run`` if it has none yet.
+    :raises RefusedError: ``may_have_run`` if no answer is stored yet.
     """
     if claim.state is ClaimState.FINISHED:
         return claim.answer
--- a/src/celerytrack/entry/stopping.py
+++ b/src/celerytrack/entry/stopping.py
@@ -1,7 +1,7 @@
-"""How a planned stop spends the time that its supervisor gives it.
+"""Schedule of a planned stop within the grace time of the process supervisor.
 
-Each part of a stop ends at a moment that is set when the stop begins, so that what one
-part takes longer is not added to the whole.
+Each stage of a stop has a deadline that is fixed when the stop begins, so that a slow
+stage does not make the whole stop longer.
 """
 
 import asyncio
@@ -14,25 +14,25 @@
 from celerytrack.settings import EntryTuning
 
 EXIT_S = 0.5
-"""Left for the event loop and the interpreter to end."""
+"""Time to end the event loop and the interpreter."""
 CONNECTIONS_S = 0.5
-"""For closing the connections to the platform and the back ends."""
+"""Time to close the connections to the platform and the back ends."""
 LISTENER_S = 1.0
-"""For closing the listener, with answers on their way."""
+"""Time to close the listener while answers are still being sent."""
 LAST_WORDS_S = 0.5
-"""For telling callers whose requests are given up."""
+"""Time to answer the callers of requests that are cut off."""
 
 
 @attrs.frozen
 class StopTimes:
-    """When the parts of a planned stop are over, on the steady clock.
+    """The deadlines of the stages of a planned stop, on the monotonic clock.
 
-    :ivar began_s: the stop signal came.
-    :ivar requests_until_s: requests in progress are given up.
-    :ivar told_until_s: their callers were told.
-    :ivar ledger_until_s: what the log has not taken is given up.
+    :ivar began_s: when the stop signal came.
+    :ivar requests_until_s: requests in progress are cut off.
+    :ivar told_until_s: their callers have been answered.
+    :ivar ledger_until_s: records that the log has not accepted are dropped.
     :ivar listener_until_s: the listener is closed.
-    :ivar connections_until_s: so are the connections.
+    :ivar connections_until_s: the connections are closed.
     """
 
     began_s: float
@@ -44,7 +44,7 @@
 
 
 def plan_stop(tuning: EntryTuning, now_s: float) -> StopTimes:
-    """The times of a stop that begins now."""
+    """The schedule of a stop that begins at ``now_s``."""
     requests_until_s = now_s + tuning.drain_grace_s
     connections_until_s = now_s + tuning.stop_grace_s - EXIT_S
     listener_until_s = connections_until_s - CONNECTIONS_S
@@ -59,7 +59,7 @@
 
 
 async def finish_by(until_s: float, ending: Coroutine[Any, Any, None]) -> bool:
-    """Run ``ending`` until then at most; whether it came to its end."""
+    """Run ``ending`` until ``until_s`` at most; whether it finished."""
     try:
         await asyncio.wait_for(ending, max(0.0, until_s - time.monotonic()))
     except TimeoutError:
--- a/src/celerytrack/entry/time_limit.py
+++ b/src/celerytrack/entry/time_limit.py
@@ -1,4 +1,4 @@
-"""An end for work in progress that may be set while the work is under way."""
+"""A deadline for many pieces of work that may be set while they run."""
 
 import asyncio
 import contextlib
@@ -8,31 +8,30 @@
 
 
 class TimeIsUpError(Exception):
-    """The end came before the work was done."""
+    """The deadline passed before the work was done."""
 
 
 class TimeLimit:
-    """The end of all work that is begun within :meth:`bounded`; none at first."""
+    """The deadline of all work that runs in :meth:`bounded`; none until it is set."""
 
     def __init__(self) -> None:
         self._until_s: float | None = None
         self._scopes: set[asyncio.Timeout] = set()
 
     def is_over(self, now_s: float) -> bool:
-        """Whether nothing may be begun any more."""
         return self._until_s is not None and now_s >= self._until_s
 
     def set_end(self, until_s: float) -> None:
-        """End what is under way, and what will be begun, at ``until_s``."""
+        """End current and future work at ``until_s``, on the monotonic clock."""
         self._until_s = until_s
         for scope in self._scopes:
             scope.reschedule(loop_time(until_s))
 
     @contextlib.asynccontextmanager
     async def bounded(self) -> AsyncIterator[None]:
-        """Run work that ends at the limit.
+        """Run the body until the deadline, also if that is set or moved meanwhile.
 
-        :raises TimeIsUpError: if it had to.
+        :raises TimeIsUpError: if the deadline passed first.
         """
         until_s = self._until_s
         scope = asyncio.timeout_at(None if until_s is None else loop_time(until_s))
