--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -1,8 +1,9 @@
-"""Requests that end replicas, before the product's own interface.
+"""Quarantine of requests that crash replicas, for the product's own interface.
 
-Heartbeats carry all that an entry has found: one that is lost is replaced by the next,
-and an entry that starts hears the others before it serves. Nothing of it is on the log:
-when all entries lose power at once, a request that was known must be found again.
+Each heartbeat carries all findings of its entry, so the next one replaces a lost one,
+and a starting entry waits for its peers' heartbeats before it serves. Nothing is
+written to the log: if all entries lose power at once, the requests must be detected
+again.
 """
 
 import asyncio
@@ -25,124 +26,131 @@
 _log = logging.getLogger(__name__)
 
 TOLD_S = 0.15
-"""How long after a claim the others have heard of it: a heartbeat and its way."""
+"""Time until all peers know a claim: one heartbeat interval and its transmission."""
 TRIAL_USUALLY_S = 1.0
-"""When to come back while a request is tried: most trials have ended by then."""
+"""Retry-After while a trial of the request runs; most trials have ended by then."""
 NOT_BY_ITSELF_S = 3_600.0
-"""When to come back if only new software helps."""
+"""Retry-After if only a new software release can help."""
 ONE_ENDING_S = 1
-"""Endings of one replica within the same second are one: a replica that starts again
-keeps its id."""
+"""Crashes of one replica within the same second count as one. A replica that restarts
+keeps its id, so the time tells its crashes apart."""
 
 
 def fingerprint(work: WorkClass, account: str, body: object) -> Fingerprint:
-    """What a repeat of a request has as well: class of work, caller and body."""
+    """Identifies repeats of a request by its class of work, account and body."""
     raw = json.dumps(body, sort_keys=True).encode()
     line = RequestLine("POST", "", work.name, AccountId(account), len(raw))
     return fingerprint_of(place_of(line), raw)
 
 
 class Fingerprinted(Protocol):
-    """A request whose fingerprint is made when asked for."""
+    """A request whose fingerprint is computed on access."""
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What a repeat of it has as well."""
+        """Identifies repeats of the request."""
 
 
 class EntrySuspects:
-    """Which requests end replicas, as this entry knows it."""
+    """The requests that this entry suspects of crashing replicas."""
 
     def __init__(self, entry_id: EntryId) -> None:
         self.book = SuspectBook(entry_id)
-        self._at: Counter[ReplicaId] = Counter()
+        self._suspects_at: Counter[ReplicaId] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def findings(self, now_s: float) -> Findings | None:
-        """What the next heartbeat tells."""
+        """The findings for the next heartbeat."""
         if not self.book:
             return None
         findings = self.book.record(now_s, time.time())
         return None if findings.empty else findings
 
     def hear(self, findings: Findings, now_s: float) -> None:
-        """Take what another entry's heartbeat tells."""
+        """Merge the findings of a peer's heartbeat."""
         self.book.heard(findings, True, now_s)
 
-    def standing(self, known: Fingerprint, work: WorkClass, now_s: float) -> Standing:
-        """What a request is taken for."""
-        return self.book.standing(known, {work.model}, now_s)
+    def standing(
+        self, fingerprint: Fingerprint, work: WorkClass, now_s: float
+    ) -> Standing:
+        """How strongly a request is suspected of crashing replicas."""
+        return self.book.standing(fingerprint, {work.model}, now_s)
 
-    def held_back(self, known: Fingerprint, now_s: float) -> Refusal:
-        """The refusal of a request that no replica gets now."""
-        back_in_s = self.book.back_in_s(known, now_s)
+    def held_back(self, fingerprint: Fingerprint, now_s: float) -> Refusal:
+        """The refusal of a request that is quarantined or on trial at another entry."""
+        back_in_s = self.book.back_in_s(fingerprint, now_s)
         after_s = NOT_BY_ITSELF_S if back_in_s is None else back_in_s
-        detail = f"replicas ended under request {known.hex()}"
+        detail = f"replicas ended under request {fingerprint.hex()}"
         after_s = max(after_s, TRIAL_USUALLY_S)
         return did_not_run(Reason.QUARANTINED, after_s, detail)
 
     def apart(self, standing: Standing, now_s: float) -> frozenset[ReplicaId]:
-        """The replicas that a request should not meet."""
+        """The replicas that a request should not be sent to.
+
+        These are the replicas of trials and, for a suspect request, also those that
+        run another suspect.
+        """
         if not self.book:
             return frozenset()
         names = {ReplicaId(name) for name in self.book.endpoints_on_trial(now_s)}
         if standing is not Standing.CLEAR:
-            names.update(self._at.elements())
+            names.update(self._suspects_at.elements())
         return frozenset(names)
 
     async def claim(
-        self, known: Fingerprint, replica: ReplicaId, lasts_s: float
+        self, fingerprint: Fingerprint, replica: ReplicaId, lasts_s: float
     ) -> bool:
-        """Begin to try a request alone; whether this entry may."""
-        trial = Trial(known, EndpointId(replica), lasts_s)
+        """Claim the trial of a request; whether this entry won the claim."""
+        trial = Trial(fingerprint, EndpointId(replica), lasts_s)
         if self.book.claim(trial, time.monotonic()) is None:
             return False
         try:
             await asyncio.sleep(TOLD_S)
         except asyncio.CancelledError:
-            # The caller left meanwhile.
-            self.book.release(known)
+            # The caller disconnected during the wait.
+            self.book.release(fingerprint)
             raise
-        return self.book.holds(known)
+        return self.book.holds(fingerprint)
 
     def sent(self, replica: ReplicaId) -> None:
-        """A request under suspicion is at ``replica``."""
-        self._at[replica] += 1
+        """Count a suspect request sent to ``replica``."""
+        self._suspects_at[replica] += 1
 
     def over(self, replica: ReplicaId) -> None:
-        """It is there no more."""
-        self._at[replica] -= 1
+        """Count a suspect request at ``replica`` that has ended."""
+        self._suspects_at[replica] -= 1
 
     def release(self, request: Fingerprinted) -> None:
-        """A trial of the request, if there is one, showed nothing."""
+        """Release the trial of the request, if this entry holds one, without a
+        result."""
         if self.book:
             self.book.release(request.fingerprint)
 
     def ended_well(self, request: Fingerprinted, now_s: float) -> None:
-        """A replica answered the request whole."""
+        """Clear the request: a replica answered it completely."""
         if not self.book:
             return
-        known = request.fingerprint
-        told = self.book.forgive(known, now_s)
-        if not told.empty:
+        fingerprint = request.fingerprint
+        cleared = self.book.forgive(fingerprint, now_s)
+        if not cleared.empty:
             log_event(
                 _log,
                 Event.SUSPECT_CLEARED,
                 logging.WARNING,
-                fingerprint=known.hex(),
-                endings=[evidence.ending.endpoint_id for evidence in told.forgiven],
+                fingerprint=fingerprint.hex(),
+                endings=[evidence.ending.endpoint_id for evidence in cleared.forgiven],
             )
 
     def broke(
-        self, known: Fingerprint, replica: ReplicaId, address: str, model: str
+        self, fingerprint: Fingerprint, replica: ReplicaId, address: str, model: str
     ) -> None:
-        """The request broke at a replica: find out whether that ended."""
-        task = asyncio.create_task(self._find_out(known, replica, address, model))
+        """Check whether the replica crashed while it ran the request."""
+        task = asyncio.create_task(self._check(fingerprint, replica, address, model))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _find_out(
-        self, known: Fingerprint, replica: ReplicaId, address: str, model: str
+    async def _check(
+        self, fingerprint: Fingerprint, replica: ReplicaId, address: str, model: str
     ) -> None:
         at_s = int(time.time()) // ONE_ENDING_S
         try:
@@ -151,18 +159,18 @@
         except TimeoutError:
             ended = False
         if not ended:
-            self.book.release(known)
+            self.book.release(fingerprint)
             return
         ending = Ending(EndpointId(replica), at_s, model)
         now_s = time.monotonic()
-        self.book.witnessed(ending, [known], now_s)
+        self.book.witnessed(ending, [fingerprint], now_s)
         log_event(
             _log,
             Event.ENDPOINT_ENDED,
             logging.WARNING,
             endpoint=replica,
-            fingerprints=[known.hex()],
+            fingerprints=[fingerprint.hex()],
         )
-        suspect = self.book.suspect(known, now_s)
+        suspect = self.book.suspect(fingerprint, now_s)
         if suspect.standing is Standing.SHUT_OUT:
             log_shut_out(_log, suspect)
