--- a/src/celerytrack/entry/ledger_keeper.py
+++ b/src/celerytrack/entry/ledger_keeper.py
@@ -1,11 +1,11 @@
-"""The task that owns this entry's view of the ledger and its escrow.
-
-It follows the ``ledger`` stream into a :class:`~celerytrack.ledger.Ledger`,
-asks for grants when the escrow runs low, settles grants whose lease ended,
-gives idle ones back when another entry wants them, takes back those of
-entries that are gone, and writes snapshots so that readers survive
-retention. Request handlers only touch the in-memory :class:`EscrowBook` and
-this keeper's methods; all writing goes through the :class:`LedgerWriter`.
+"""This entry's replay of the ledger and the management of its grants.
+
+The ``ledger`` stream is replayed into a :class:`~celerytrack.ledger.Ledger`. Grants
+are requested when the escrow runs low, settled when their lease has ended, returned
+while idle when another entry wants tokens, and reclaimed from entries that are gone.
+Snapshots are written so that readers can start after the log's retention has dropped
+records. Request handlers use only the in-memory :class:`EscrowBook` and the methods
+here; all records are written by the :class:`LedgerWriter`.
 """
 
 import asyncio
@@ -34,26 +34,26 @@
 
 SNAPSHOTS = "ledger.snapshots"
 SNAPSHOT_EVERY = 500
-"""Records between ledger snapshots; retention must keep several times this."""
+"""Records between ledger snapshots; retention must keep several times as many."""
 _RESTORE_RETRY_S = 0.2
-_SETTLE_EVERY_S = 1.0
-_WANT_EVERY_S = 0.25
-"""How often an entry repeats that it wants tokens others hold."""
-_SYNC_EVERY_S = 0.02
+_SETTLE_INTERVAL_S = 1.0
+_WANT_INTERVAL_S = 0.25
+"""Shortest time between two requests for tokens that peers hold."""
+_SYNC_INTERVAL_S = 0.02
 _SETTLE_WAIT_S = 5.0
-"""Longest a drain waits for the log to take back what was not spent."""
+"""Longest a drain waits for the log to accept the settles of its grants."""
 
 
 class LedgerKeeper:
-    """Owns the ledger fold and the escrow book.
+    """Owns the replayed ledger and the escrow book.
 
     :param log: client of the platform log.
     :param entry: this entry's id.
     :param boot_id: unique per process start, part of every grant id.
-    :param policy: the grant policy now in force (read on each use).
+    :param policy: returns the grant policy in force; called on each use.
     :param tuning: how often to append and to write snapshots.
-    :param chosen: says whether this entry does the fleet's duty named so.
-    :param is_gone: says whether the platform lists an entry as gone.
+    :param chosen: whether this entry is elected for the fleet's task of that name.
+    :param is_gone: whether the platform lists an entry as gone.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         boot_id: str,
         policy: Callable[[], GrantPolicy],
         tuning: EntryTuning,
-        chosen: Callable[[str], bool] = lambda duty: True,
+        chosen: Callable[[str], bool] = lambda task: True,
         is_gone: Callable[[EntryId], bool] = lambda entry: False,
     ) -> None:
         self.ledger = Ledger()
@@ -74,19 +74,19 @@
             f"{entry}/{boot_id}",
             tuning.ledger_flush_s,
             self._appended,
-            self._contact,
+            self._set_reachable,
         )
         self._snapshot_every_s = tuning.snapshot_every_s
         self._log = log
         self._entry = entry
         self._boot_id = boot_id
         self._policy = policy
-        self._chosen = chosen
+        self._is_elected = chosen
         self._is_gone = is_gone
         self._changed = asyncio.Event()
         self._last_snapshot = 0
         self._first_seen_s: dict[GrantId, float] = {}
-        self._wanted_at_s: dict[AccountId, float] = {}
+        self._want_sent_at_s: dict[AccountId, float] = {}
         self._settling: set[GrantId] = set()
         self._ended_boots: frozenset[str] = frozenset()
         self._snapshot_at_s = float("-inf")
@@ -95,7 +95,7 @@
         self._synced_at_s = float("-inf")
 
     async def start(self) -> list[asyncio.Task[None]]:
-        """Load the latest snapshot, catch up, and start the keeper's tasks."""
+        """Load the latest snapshot, catch up and start the background tasks."""
         start = await self._restore(0)
         offset = await catch_up(self._log, LEDGER, start, self._apply, self._restore)
         self.reachable = offset is not None
@@ -110,19 +110,21 @@
                     self.ledger.next_offset,
                     self._apply,
                     restore=self._restore,
-                    on_contact=self._contact,
+                    on_contact=self._set_reachable,
                 )
             ),
             asyncio.create_task(self.writer.run()),
             asyncio.create_task(self._settle_loop()),
         ]
 
-    # -- what request handlers ask ----------------------------------------
+    # -- for request handlers ----------------------------------------------
 
     def want(self, account: AccountId, tokens: int, now_s: float) -> None:
-        """See that a request of ``tokens`` can be covered: ask for a grant
-        if the escrow runs low, and for other entries' idle tokens if the
-        account has too little free."""
+        """Ask for what is missing to cover a request of ``tokens``.
+
+        That is a grant if the escrow runs low, and the idle tokens of other entries
+        if the account has too few free ones.
+        """
         policy = self._policy()
         refill = plan_refill(
             tokens,
@@ -133,62 +135,62 @@
             policy,
         )
         if refill.grant_tokens and account not in self.book.pending:
-            self._ask_grant(account, refill.grant_tokens, policy.lease_s)
+            self._request_grant(account, refill.grant_tokens, policy.lease_s)
         if refill.others_tokens:
-            self._ask_others(account, refill.others_tokens, now_s)
+            self._request_returns(account, refill.others_tokens, now_s)
 
     async def wait_changed(self, timeout_s: float) -> None:
-        """Wait until the ledger changed, or ``timeout_s`` passes."""
+        """Wait until the replayed ledger changes, ``timeout_s`` at most."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout_s)
         except TimeoutError:
             pass
 
     def free_tokens(self, account: AccountId) -> int:
-        """The account's free tokens in this entry's fold of the ledger."""
+        """The account's free tokens in this entry's replayed ledger."""
         return self.ledger.account(account).free_tokens
 
     def elsewhere_tokens(self, account: AccountId) -> int:
-        """Tokens that other entries' open grants of ``account`` hold."""
-        ours = sum(
+        """Tokens of ``account`` in open grants of other entries."""
+        own = sum(
             self.ledger.grants[g.grant_id].left_tokens
             for g in self.book.held(account)
             if g.grant_id in self.ledger.grants
         )
-        return self.ledger.account(account).open_tokens - ours
+        return self.ledger.account(account).open_tokens - own
 
     async def sync(self, timeout_s: float) -> bool:
-        """Read the ledger to its end, so that what follows rests on what was
-        true after this call began. Callers that wait together share a read.
+        """Read the ledger to its end, so that the replayed ledger is at least as new
+        as this call. Concurrent callers share one read.
 
-        :returns: whether the read ended in that time, well or not.
+        :returns: whether the read ended within ``timeout_s``, successful or not.
         """
         if self._next_sync is None:
             self._next_sync = asyncio.create_task(self._sync())
-        reading = asyncio.shield(self._next_sync)
+        shared_read = asyncio.shield(self._next_sync)
         try:
-            await asyncio.wait_for(reading, timeout_s)
+            await asyncio.wait_for(shared_read, timeout_s)
         except TimeoutError:
             return False
         return True
 
     async def _sync(self) -> None:
         async with self._sync_lock:
-            # A flood of refusals must not become a flood of reads.
-            due_s = self._synced_at_s + _SYNC_EVERY_S
+            # Limit the read rate: many refusals at once must not cause as many reads.
+            due_s = self._synced_at_s + _SYNC_INTERVAL_S
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
-            # Who comes from here on needs a read that begins later.
+            # Later callers need a read that begins after their call.
             self._next_sync = None
             offset = await catch_up(
                 self._log, LEDGER, self.ledger.next_offset, self._apply, self._restore
             )
-            self._contact(offset is not None)
+            self._set_reachable(offset is not None)
             self._synced_at_s = time.monotonic()
 
     async def bill(self, bill: Bill) -> BillOutcome:
-        """Append ``bill`` and take the ledger's word on it."""
+        """Append ``bill`` and apply the ledger's outcome to the escrow book."""
         outcome = await self.writer.bill(bill)
-        self._confirm(bill.charges, outcome)
+        self._confirm_bill(bill.charges, outcome)
         if outcome is not BillOutcome.CHARGED:
             log_event(
                 _log,
@@ -200,10 +202,10 @@
         return outcome
 
     async def settle_all(self, until_s: float) -> None:
-        """On drain: wait for the bills, then give every idle grant back.
+        """On drain: wait for the bills to be written, then settle every idle grant.
 
-        A bill that is lost is a request that nobody paid; a grant comes back by
-        itself once its lease has ended, and is waited for less long.
+        A lost bill is a request that is never paid for. A grant is reclaimed once
+        its lease has ended, so without open bills the wait is shorter.
         """
         now_s = time.monotonic()
         if not self.book.has_open_bills:
@@ -213,7 +215,7 @@
         self._settle_own(now_s, all_grants=True)
         await self.writer.wait_idle(min(until_s - now_s, _SETTLE_WAIT_S))
 
-    # -- the fold ---------------------------------------------------------
+    # -- replay --------------------------------------------------------------
 
     def _apply(self, offset: int, record: Record) -> None:
         if offset < self.ledger.next_offset:
@@ -226,20 +228,20 @@
                 self._first_seen_s.pop(record["grant_id"], None)
                 self._settling.discard(record["grant_id"])
             case "want" if record["entry"] != self._entry:
-                self._give_back(AccountId(record["account"]), int(record["tokens"]))
+                self._return_grants(AccountId(record["account"]), int(record["tokens"]))
         if record.get("writer") == self.writer.writer_id:
             self.writer.folded(int(record["seq"]), outcomes)
         self._notify()
         self._maybe_snapshot()
 
     def _appended(self, appended: Appended, batch: list[Record]) -> None:
-        # Our own records need not wait for the tail to bring them, unless
-        # others wrote in between: the fold takes records in offset order.
+        # Own records are applied at once, without waiting to read them back, unless
+        # another entry's records precede them: records apply in offset order.
         if appended.first_offset == self.ledger.next_offset:
             for i, record in enumerate(batch):
                 self._apply(appended.first_offset + i, record)
 
-    def _contact(self, reachable: bool) -> None:
+    def _set_reachable(self, reachable: bool) -> None:
         if self.reachable and not reachable:
             log_event(_log, Event.LEDGER_UNREACHABLE, logging.WARNING)
         self.reachable = reachable
@@ -249,16 +251,17 @@
         self._changed = asyncio.Event()
 
     def _maybe_snapshot(self) -> None:
-        # Also written by age: on a quiet stream the last snapshot itself would
-        # fall out of the log's retention, and a new entry find nothing.
+        # A snapshot is also written when the last one is old. On a quiet stream the
+        # last snapshot itself would otherwise fall out of the log's retention, and a
+        # new entry would find none.
         now_s = time.monotonic()
-        k = self.ledger.next_offset // SNAPSHOT_EVERY
-        aged = now_s - self._snapshot_at_s >= self._snapshot_every_s
-        if k <= self._last_snapshot and not aged:
+        number = self.ledger.next_offset // SNAPSHOT_EVERY
+        too_old = now_s - self._snapshot_at_s >= self._snapshot_every_s
+        if number <= self._last_snapshot and not too_old:
             return
-        self._last_snapshot = max(k, self._last_snapshot)
+        self._last_snapshot = max(number, self._last_snapshot)
         self._snapshot_at_s = now_s
-        if self._chosen("snapshot"):
+        if self._is_elected("snapshot"):
             asyncio.get_running_loop().create_task(self._write_snapshot())
 
     async def _write_snapshot(self) -> None:
@@ -269,13 +272,12 @@
                 log_event(_log, Event.LEDGER_SNAPSHOT_WRITTEN, at_offset=at_offset)
 
     async def _restore(self, start_offset: int) -> int:
-        """Load the last snapshot if it is newer than the fold.
+        """Load the last snapshot if it is newer than the replayed ledger.
 
-        Waits for one that covers ``start_offset``: folding on over records
-        that retention dropped would miss grants, and hand out tokens that
-        are spent.
+        Waits for a snapshot that covers ``start_offset``. A replay that skips records
+        dropped by retention would miss grants and hand out tokens that are spent.
 
-        :returns: the offset to read on from.
+        :returns: the offset to continue reading from.
         """
         while True:
             match await self._log.last(SNAPSHOTS):
@@ -285,7 +287,7 @@
                     self._load(record)
             if self.ledger.next_offset >= start_offset:
                 return self.ledger.next_offset
-            self._contact(False)
+            self._set_reachable(False)
             await asyncio.sleep(_RESTORE_RETRY_S)
 
     def _load(self, record: Record) -> None:
@@ -298,14 +300,14 @@
 
     # -- grants -----------------------------------------------------------
 
-    def _ask_grant(self, account: AccountId, size: int, lease_s: float) -> None:
+    def _request_grant(self, account: AccountId, size: int, lease_s: float) -> None:
         grant_id = self.book.new_grant_id(self._boot_id)
-        # The lease counts from before the append: a pause anywhere after
-        # that only makes this entry stop spending sooner.
+        # The lease starts before the append, so a pause of this process at any later
+        # point only makes it stop spending sooner.
         usable_until_s = time.monotonic() + lease_s
         self.book.pending.add(account)
 
-        def folded(_: list[BillOutcome]) -> None:
+        def on_folded(_: list[BillOutcome]) -> None:
             self.book.pending.discard(account)
             if grant_id not in self.ledger.grants:
                 free = self.free_tokens(account)
@@ -324,12 +326,12 @@
             "grant_id": grant_id,
             "tokens": size,
         }
-        self.writer.submit(record, folded)
+        self.writer.submit(record, on_folded)
 
-    def _ask_others(self, account: AccountId, tokens: int, now_s: float) -> None:
-        if now_s - self._wanted_at_s.get(account, float("-inf")) < _WANT_EVERY_S:
+    def _request_returns(self, account: AccountId, tokens: int, now_s: float) -> None:
+        if now_s - self._want_sent_at_s.get(account, float("-inf")) < _WANT_INTERVAL_S:
             return
-        self._wanted_at_s[account] = now_s
+        self._want_sent_at_s[account] = now_s
         self.writer.submit(
             {
                 "type": "want",
@@ -339,17 +341,17 @@
             }
         )
 
-    def _give_back(self, account: AccountId, tokens: int) -> None:
-        # Near the end of a budget its last tokens sit idle in several
-        # entries' grants, and callers would be refused a budget that is not
-        # used up until those leases end.
+    def _return_grants(self, account: AccountId, tokens: int) -> None:
+        # Near the end of a budget its last tokens are idle in the grants of several
+        # entries. Until those leases ended, callers would be refused although the
+        # budget is not used up.
         for grant in self.book.spare(account):
             if tokens <= 0:
                 return
             tokens -= grant.tokens - grant.spent_tokens
             self._settle(grant.grant_id, Event.GRANT_GIVEN_BACK)
 
-    def _confirm(self, charges: Charges, outcome: BillOutcome) -> None:
+    def _confirm_bill(self, charges: Charges, outcome: BillOutcome) -> None:
         self.book.confirm(charges, outcome)
         if outcome is BillOutcome.VOID:
             for grant_id, _ in charges:
@@ -358,22 +360,24 @@
 
     async def _settle_loop(self) -> None:
         while True:
-            await asyncio.sleep(_SETTLE_EVERY_S)
+            await asyncio.sleep(_SETTLE_INTERVAL_S)
             now_s = time.monotonic()
             self._settle_own(now_s)
-            self._reclaim(now_s)
+            self._reclaim_gone(now_s)
             self._maybe_snapshot()
 
     def _settle_own(self, now_s: float, *, all_grants: bool = False) -> None:
         for grant in self.book.settleable(now_s, all_grants=all_grants):
             self._settle(grant.grant_id, Event.GRANT_SETTLED)
 
-    def _reclaim(self, now_s: float) -> None:
+    def _reclaim_gone(self, now_s: float) -> None:
         holders = {g.entry for g in self.ledger.grants.values()}
         gone = [
             e
             for e in holders
-            if e != self._entry and self._is_gone(e) and self._chosen(f"reclaim-{e}")
+            if e != self._entry
+            and self._is_gone(e)
+            and self._is_elected(f"reclaim-{e}")
         ]
         for grant_id in reclaimable(
             self.ledger.grants,
@@ -387,8 +391,8 @@
             self._settle(grant_id, Event.GRANT_RECLAIMED)
 
     def _settle(self, grant_id: GrantId, event: Event) -> None:
-        # Forgotten before the record is written: no request may reserve from
-        # a grant whose settle is on its way.
+        # Drop the grant before the record is written: no request may reserve from a
+        # grant whose settle record is queued.
         self.book.forget(grant_id)
         if grant_id in self._settling:
             return
--- a/src/celerytrack/entry/ledger_writer.py
+++ b/src/celerytrack/entry/ledger_writer.py
@@ -1,13 +1,12 @@
 """The task that appends this entry's records to the ledger stream.
 
-Everything an entry writes there (grants, bills, intents, settles) goes
-through one queue: what comes in while an append is under way, or within
-``flush_s`` of the last one, goes out in the next append. The fleet's appends
-grow with its entries and not with its requests.
-
-Each record carries this process's writer id and a sequence number, so a
-batch whose reply was lost is simply appended again: the fold skips what it
-has seen.
+All records that an entry writes there (grants, bills, intents, settles) go through
+one queue. Records submitted during an append, or within ``flush_s`` of the last one,
+are batched into the next append, so the fleet's append rate grows with its entries
+and not with its requests.
+
+Each record carries this process's writer id and a sequence number. A batch whose
+reply was lost is therefore appended again, and the replay skips duplicates.
 """
 
 import asyncio
@@ -31,17 +30,17 @@
 
 Record = dict[str, Any]
 OnFolded = Callable[[list[BillOutcome]], None]
-"""Called when this entry's fold reached the record, with the bills' outcomes."""
+"""Called with the bills' outcomes when this entry's replay reaches the record."""
 
 
 class LedgerWriter:
     """Owns the queue of records and the appends to the ledger stream.
 
     :param log: client of the platform log.
-    :param writer_id: unique per process life.
+    :param writer_id: unique per process start.
     :param flush_s: the shortest time between two appends.
-    :param on_appended: told where a batch landed.
-    :param on_contact: told whether the log answered.
+    :param on_appended: called with the offset of each appended batch.
+    :param on_contact: called after each append with whether the log answered.
     """
 
     def __init__(
@@ -68,23 +67,23 @@
 
     @property
     def backlog(self) -> int:
-        """Records and bills that this entry's fold has not reached yet."""
+        """The number of records and bills that this entry has not replayed yet."""
         return len(self._queue) + len(self._bills) + len(self._unfolded)
 
     def submit(self, record: Record, on_folded: OnFolded | None = None) -> None:
-        """Queue ``record``; it will be appended, once."""
+        """Queue ``record``, which takes effect once even if it is appended twice."""
         self._queue.append((record, on_folded))
-        self._woken()
+        self._wake_up()
 
     def bill(self, bill: Bill) -> "asyncio.Future[BillOutcome]":
-        """Queue ``bill``; the future gets what the ledger made of it."""
-        done: asyncio.Future[BillOutcome] = asyncio.get_running_loop().create_future()
-        self._bills.append((bill, done))
-        self._woken()
-        return done
+        """Queue ``bill``; the future gets its outcome in the ledger."""
+        future: asyncio.Future[BillOutcome] = asyncio.get_running_loop().create_future()
+        self._bills.append((bill, future))
+        self._wake_up()
+        return future
 
     def folded(self, seq: int, outcomes: list[BillOutcome]) -> None:
-        """The entry's fold reached the record numbered ``seq``."""
+        """Record that the entry's replay has reached record number ``seq``."""
         self._folded_seq = max(self._folded_seq, seq)
         on_folded = self._unfolded.pop(seq, None)
         if on_folded is not None:
@@ -93,16 +92,16 @@
             self._idle.set()
 
     def skipped_to(self, seq: int) -> None:
-        """A snapshot covers every record up to ``seq``: outcomes are gone.
+        """Record that a snapshot covers every record up to number ``seq``.
 
-        The bills among them were charged, or were void and stay uncharged;
-        they are taken as charged, which leaves at most too little to spend.
+        The outcomes of their bills are lost: each was charged, or was void and stays
+        uncharged. All count as charged, so at worst too few tokens can be spent.
         """
         for number in [n for n in self._unfolded if n <= seq]:
             self.folded(number, [])
 
     async def wait_idle(self, timeout_s: float) -> bool:
-        """Wait until everything queued was appended and folded."""
+        """Wait until all queued records are appended and replayed."""
         try:
             await asyncio.wait_for(self._idle.wait(), timeout_s)
         except TimeoutError:
@@ -111,22 +110,24 @@
 
     async def run(self) -> None:
         """Append batches forever."""
-        last_s = float("-inf")
+        last_append_s = float("-inf")
         while True:
             await self._wake.wait()
-            await asyncio.sleep(max(0.0, last_s + self._flush_s - time.monotonic()))
-            last_s = time.monotonic()
-            await self._append(self._take())
+            await asyncio.sleep(
+                max(0.0, last_append_s + self._flush_s - time.monotonic())
+            )
+            last_append_s = time.monotonic()
+            await self._append(self._next_batch())
 
-    def _woken(self) -> None:
+    def _wake_up(self) -> None:
         self._idle.clear()
         self._wake.set()
 
-    def _take(self) -> list[Record]:
+    def _next_batch(self) -> list[Record]:
         bills, self._bills = self._bills[:_MAX_BILLS], self._bills[_MAX_BILLS:]
         if bills:
             record = {"type": "bills", "bills": [b.to_json() for b, _ in bills]}
-            futures = [done for _, done in bills]
+            futures = [future for _, future in bills]
             self._queue.append((record, lambda o: _resolve(futures, o)))
         batch = []
         for record, on_folded in self._queue:
@@ -139,8 +140,8 @@
         return batch
 
     async def _append(self, batch: list[Record]) -> None:
-        """Append ``batch`` until the log says, or the fold shows, it landed."""
-        tries = 0
+        """Append ``batch``; retry until the log confirms it or the replay shows it."""
+        attempts = 0
         while batch and self._folded_seq < batch[-1]["seq"]:
             match await self._log.append(LEDGER, batch):
                 case Success(appended):
@@ -159,14 +160,14 @@
                         records=len(batch),
                         kind=error.kind.value,
                     )
-                    await asyncio.sleep(_BACKOFF_S[min(tries, len(_BACKOFF_S) - 1)])
-                    tries += 1
+                    await asyncio.sleep(_BACKOFF_S[min(attempts, len(_BACKOFF_S) - 1)])
+                    attempts += 1
 
 
 def _resolve(
     futures: "list[asyncio.Future[BillOutcome]]", outcomes: list[BillOutcome]
 ) -> None:
     known = outcomes or [BillOutcome.CHARGED] * len(futures)
-    for done, outcome in zip(futures, known, strict=True):
-        if not done.done():
-            done.set_result(outcome)
+    for future, outcome in zip(futures, known, strict=True):
+        if not future.done():
+            future.set_result(outcome)
