--- a/src/celerytrack/entry/_tail.py
+++ b/src/celerytrack/entry/_tail.py
@@ -1,4 +1,4 @@
-"""Following one stream of the log: read from an offset, long-poll for more."""
+"""Reads one stream of the log from an offset and follows it by long polls."""
 
 import asyncio
 import logging
@@ -16,8 +16,8 @@
 
 
 Restore = Callable[[int], Awaitable[int]]
-"""Called when records below the given start offset are gone; returns the
-offset to go on from (after restoring a snapshot)."""
+"""Called when the log has dropped the records below the given start offset. Restores
+a snapshot and returns the offset to continue from."""
 
 
 async def _skip_to_start(start_offset: int) -> int:
@@ -31,7 +31,7 @@
     apply: Callable[[int, Any], None],
     restore: Restore = _skip_to_start,
 ) -> int | None:
-    """Read ``stream`` from ``start`` to its end, applying each record.
+    """Apply the records of ``stream`` from ``start`` to its end.
 
     :returns: the next offset, or ``None`` if the log could not be read.
     """
@@ -46,18 +46,20 @@
                 if not batch.records:
                     return offset
             case Failure(error) if error.kind is LogErrorKind.TRIMMED:
-                offset = await _trimmed(stream, offset, error.start_offset, restore)
+                offset = await _restore_after_trim(
+                    stream, offset, error.start_offset, restore
+                )
             case _:
                 return None
 
 
-async def _trimmed(
+async def _restore_after_trim(
     stream: str, wanted: int, start: int | None, restore: Restore
 ) -> int:
-    # Retention dropped records before this reader got them: folding on from
-    # the first kept record would miss them. ``restore`` loads a snapshot
-    # taken at or after the new start (snapshots are written well inside
-    # retention), so the fold stays whole.
+    # Retention dropped records that this reader has not read, and a replay that
+    # continues at the first kept record would miss them. ``restore`` loads a snapshot
+    # taken at or after the new start, so the replay stays complete. Snapshots are
+    # written well within the retention time.
     log_event(
         _log,
         Event.LEDGER_GAP,
@@ -80,7 +82,7 @@
 ) -> None:
     """Apply every record of ``stream`` from ``start`` on, forever.
 
-    :param on_contact: told after each read whether the log answered.
+    :param on_contact: called after each read with whether the log answered.
     """
     offset = start
     while True:
@@ -92,7 +94,9 @@
                     apply(at, record)
                 offset = batch.next_offset
             case Failure(error) if error.kind is LogErrorKind.TRIMMED:
-                offset = await _trimmed(stream, offset, error.start_offset, restore)
+                offset = await _restore_after_trim(
+                    stream, offset, error.start_offset, restore
+                )
             case _:
                 on_contact(False)
                 await asyncio.sleep(_RETRY_S)
--- a/src/celerytrack/entry/app.py
+++ b/src/celerytrack/entry/app.py
@@ -1,16 +1,16 @@
-"""The entry instance's HTTP front.
+"""The HTTP interface of an entry instance.
 
 For callers:
 
-- ``GET /v1/route``: which entry addresses this account should use, and for
-  how long to keep the answer (``ttl_s``).
+- ``GET /v1/route``: the entry addresses that the account should use, and how long
+  the answer is valid (``ttl_s``).
 - ``POST /v1/chat/completions``: OpenAI-compatible; ``model`` names the class
   of work; the answer is a stream of server-sent events.
-- ``POST /v1/services/{class}``: a plain-service call, JSON in and out.
+- ``POST /v1/services/{class}``: a call to a plain service, JSON in and out.
 - ``GET /metrics``, ``GET /healthz``, ``GET /status``; ``POST /admin/drain``.
 
 A refusal is a JSON body ``{"error": {"reason", "verdict", "retry_after_s"}}``
-with a ``Retry-After`` header when the caller may come back.
+with a ``Retry-After`` header if the caller may retry.
 """
 
 import asyncio
@@ -30,14 +30,14 @@
 from celerytrack.routing import rendezvous
 
 ENTRIES_PER_ACCOUNT = 2
-"""Entries named in an address answer: the first, and one to fail over to."""
+"""Entries in the answer of ``/v1/route``: the preferred one and one for failover."""
 _MAX_BODY_BYTES = 4 * 1024 * 1024
 
 Handler = Callable[[EntryState, web.Request], Awaitable[web.StreamResponse]]
 
 
 async def route(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """The entries an account should use, and how long to keep the answer."""
+    """``GET /v1/route``: the entries that an account should use."""
     try:
         account = authenticate(request, current_config(state))
     except RefusedError as exc:
@@ -53,12 +53,12 @@
 
 
 async def health(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """Alive, and whether draining."""
+    """``GET /healthz``: answers while the process runs; tells whether it drains."""
     return web.json_response({"ok": True, "draining": state.draining})
 
 
 async def status(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """What an operator checks."""
+    """``GET /status``: this entry's state, for operators."""
     now_s = time.monotonic()
     held = sum(g.available(now_s) for g in state.keeper.book.grants.values())
     state.metrics.held_tokens.set(held)
@@ -82,14 +82,14 @@
 
 
 async def metrics_page(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """The metrics, for Prometheus."""
+    """``GET /metrics``, in the Prometheus text format."""
     return web.Response(
         body=generate_latest(state.metrics.registry), content_type="text/plain"
     )
 
 
 async def admin_drain(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """Start a planned stop."""
+    """``POST /admin/drain``: start a drain; the process keeps running."""
     request.app[_DRAIN] = asyncio.create_task(state.drain())
     return web.json_response({"ok": True, "draining": True})
 
@@ -98,16 +98,18 @@
 
 
 def make_app(state: EntryState) -> web.Application:
-    """The entry's aiohttp application."""
+    """Create the entry's aiohttp application."""
 
-    def on(handler: Handler) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
+    def bind(
+        handler: Handler,
+    ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         return functools.partial(handler, state)
 
     async def close_connection(
         request: web.BaseRequest, response: web.StreamResponse
     ) -> None:
-        # A request that crosses the listener's close on a kept connection would be
-        # lost, and its caller not know whether it ran.
+        # Without this, a request sent on a kept-alive connection just as the listener
+        # closes would be lost, and its caller would not know whether it ran.
         if state.draining:
             response.headers["Connection"] = "close"
             response.force_close()
@@ -116,13 +118,13 @@
     app.on_response_prepare.append(close_connection)
     app.add_routes(
         [
-            web.get("/v1/route", on(route)),
-            web.post("/v1/chat/completions", on(chat)),
-            web.post("/v1/services/{work_class}", on(service_call)),
-            web.get("/healthz", on(health)),
-            web.get("/status", on(status)),
-            web.get("/metrics", on(metrics_page)),
-            web.post("/admin/drain", on(admin_drain)),
+            web.get("/v1/route", bind(route)),
+            web.post("/v1/chat/completions", bind(chat)),
+            web.post("/v1/services/{work_class}", bind(service_call)),
+            web.get("/healthz", bind(health)),
+            web.get("/status", bind(status)),
+            web.get("/metrics", bind(metrics_page)),
+            web.post("/admin/drain", bind(admin_drain)),
         ]
     )
     return app
--- a/src/celerytrack/entry/config_follower.py
+++ b/src/celerytrack/entry/config_follower.py
@@ -1,11 +1,10 @@
-"""The task that keeps the configuration in force on this entry.
-
-Operators publish a whole :class:`~celerytrack.settings.Config` as one
-record on the ``config`` stream; its offset is its version. The follower
-long-polls the stream and puts each newer valid version in force at once;
-it never goes back to an older one. Because the log keeps records only for
-a while, an entry that finds the version in force getting old writes it
-again (a snapshot, same version), by conditional append so only one does.
+"""The task that keeps this entry's configuration up to date.
+
+Operators publish a complete :class:`~celerytrack.settings.Config` as one record on
+the ``config`` stream; its offset is its version. The follower long-polls the stream,
+applies each newer valid version at once and never returns to an older one. Since the
+log's retention is limited, an entry rewrites the record in force, with the same
+version, once that record is old. The append is conditional, so only one entry does.
 """
 
 import asyncio
@@ -28,7 +27,7 @@
 def config_record(
     config: dict[str, Any], base_version: int | None, now_s: float
 ) -> dict[str, Any]:
-    """A ``config`` record for the stream, as ``celerytrackctl apply`` writes it."""
+    """A record of the ``config`` stream, as ``celerytrackctl apply`` writes it."""
     return {
         "type": "config",
         "config": config,
@@ -41,8 +40,8 @@
     """Keeps :attr:`config` at the newest valid version on the log.
 
     :param log: client of the platform log.
-    :param republish_after_s: rewrite the record in force once it is older
-        than this (well inside the log's retention); 0 never does.
+    :param republish_after_s: age at which the record in force is rewritten; must be
+        well below the log's retention time. 0 disables rewriting.
     """
 
     def __init__(self, log: LogClient, republish_after_s: float = 0.0) -> None:
@@ -55,18 +54,18 @@
         self._changed = asyncio.Event()
 
     async def load_last(self) -> bool:
-        """Put the last record in force; ``False`` if the log is unreachable."""
+        """Apply the last record; ``False`` if the log is unreachable."""
         match await self._log.last(CONFIG):
             case Success(None):
                 return True
             case Success((offset, record)):
-                self._take(offset, record)
+                self._apply(offset, record)
                 self._next_offset = offset + 1
                 return True
         return False
 
     async def wait_for_config(self) -> Config:
-        """Wait until some configuration is in force and return it."""
+        """Wait until a configuration is in force and return it."""
         while self.config is None:
             self._changed.clear()
             await self._changed.wait()
@@ -81,7 +80,7 @@
             match result:
                 case Success(batch):
                     for offset, record in batch.records:
-                        self._take(offset, record)
+                        self._apply(offset, record)
                     self._next_offset = batch.next_offset
                     await self._maybe_republish(time.time())
                 case Failure(error) if error.kind is LogErrorKind.TRIMMED:
@@ -89,7 +88,7 @@
                 case _:
                     await asyncio.sleep(_RETRY_S)
 
-    def _take(self, offset: int, record: dict[str, Any]) -> None:
+    def _apply(self, offset: int, record: dict[str, Any]) -> None:
         version = int(record.get("version_of", offset))
         if version <= self.version:
             if version < self.version:
--- a/src/celerytrack/entry/fleet_view.py
+++ b/src/celerytrack/entry/fleet_view.py
@@ -1,9 +1,9 @@
-"""The task that keeps this entry's view of the fleet: which entries and
-replicas exist, which are leaving, and how loaded each replica is.
+"""The task that maintains this entry's view of the fleet: which entries and replicas
+exist, which are leaving, and the load of each replica.
 
-The instance list lags, so replicas' own load reports and cache events and
-the entries' heartbeats are taken too; a replica marked leaving is taken out
-of routing at once.
+The instance list lags, so the replicas' own load reports and cache events and the
+entries' heartbeats are used as well. A replica that is marked as leaving gets no more
+requests at once.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 
 
 HEARD_WITHIN_S = 1.0
-"""How old an entry's last heartbeat may be for it to count as running."""
+"""Age of the last heartbeat after which an entry no longer counts as running."""
 
 
 @attrs.define
 class EntryInfo:
-    """Another entry (or this one) as the instance list shows it."""
+    """An entry of the instance list, this entry included."""
 
     entry_id: EntryId
     address: str
@@ -38,23 +38,23 @@
     gone: bool = False
     draining: bool = False
     heard_at_s: float = float("-inf")
-    """When its last heartbeat came (monotonic seconds)."""
+    """When its last heartbeat arrived (monotonic seconds)."""
 
     def runs(self, now_s: float) -> bool:
-        """Whether a heartbeat of it came lately."""
+        """Whether its last heartbeat is recent."""
         return now_s - self.heard_at_s <= HEARD_WITHIN_S
 
     def usable(self, now_s: float) -> bool:
-        """Whether to name this entry to callers at ``now_s``."""
+        """Whether callers may be given this entry's address at ``now_s``."""
         return self.runs(now_s) and not self.leaving and not self.draining
 
 
 class FleetView:
-    """Follows the instance list and replicas' load reports.
+    """Follows the instance list and the replicas' load reports.
 
     :param instances_address: ``host:port`` of the instance list.
-    :param poll_s: how often to read both.
-    :param on_entry: told the peer address of each entry first listed.
+    :param poll_s: the interval between reads of both.
+    :param on_entry: called with the peer address of each newly listed entry.
     """
 
     def __init__(
@@ -74,9 +74,9 @@
         self._session: aiohttp.ClientSession | None = None
 
     def is_gone(self, entry_id: EntryId, now_s: float) -> bool:
-        """Whether the platform says ``entry_id`` no longer runs.
+        """Whether the platform no longer lists ``entry_id`` as running.
 
-        An entry whose heartbeats come is not gone, whatever the list says.
+        An entry with recent heartbeats is not gone, whatever the list says.
         """
         info = self.entries.get(entry_id)
         if info is None:
@@ -94,7 +94,7 @@
         except (aiohttp.ClientError, TimeoutError, ValueError):
             return
         for item in data["instances"]:
-            self._take(item)
+            self._apply(item)
         self._mark_missing({item["id"] for item in data["instances"]})
         self._listed = True
         await asyncio.gather(*(self._poll_replica(r) for r in list(self.replicas)))
@@ -106,16 +106,15 @@
             await asyncio.sleep(self._poll_s)
 
     async def close(self) -> None:
-        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
 
     def heard(self, news: PeerNews, now_s: float) -> None:
-        """Take a peer's heartbeat.
+        """Apply a peer's heartbeat.
 
-        The instance list lags and shows a crashed entry live for a while;
-        naming it to callers would send them to a dead address. Heartbeats
-        tell which entries run now, and a draining one says so at once.
+        The instance list lags and shows a crashed entry as live for a while; callers
+        given its address would reach nothing. Heartbeats show which entries run now,
+        and a draining entry reports it at once.
         """
         info = self.entries.get(news.entry)
         if info is not None:
@@ -138,36 +137,36 @@
             if replica_id not in listed:
                 self._mark_leaving(replica)
 
-    def _take(self, item: dict[str, Any]) -> None:
+    def _apply(self, item: dict[str, Any]) -> None:
         leaving = item["state"] != "live"
         if item["role"] == "entry":
             entry_id = EntryId(item["id"])
-            known_entry = self.entries.get(entry_id)
-            if known_entry is None:
-                known_entry = EntryInfo(entry_id, item["address"], Zone(item["zone"]))
-                self.entries[entry_id] = known_entry
+            entry = self.entries.get(entry_id)
+            if entry is None:
+                entry = EntryInfo(entry_id, item["address"], Zone(item["zone"]))
+                self.entries[entry_id] = entry
                 self._on_entry(item["peer_address"])
-            known_entry.leaving = leaving
-            known_entry.gone = item["state"] == "gone"
+            entry.leaving = leaving
+            entry.gone = item["state"] == "gone"
             return
         replica_id = ReplicaId(item["id"])
-        known = self.replicas.get(replica_id)
-        if known is None:
-            known = ReplicaLoad(replica_id, Zone(item["zone"]), item["model"])
-            self.replicas[replica_id] = known
+        replica = self.replicas.get(replica_id)
+        if replica is None:
+            replica = ReplicaLoad(replica_id, Zone(item["zone"]), item["model"])
+            self.replicas[replica_id] = replica
             self.addresses[replica_id] = item["address"]
             log_event(_log, Event.REPLICA_JOINED, replica=replica_id)
         if leaving:
-            self._mark_leaving(known)
+            self._mark_leaving(replica)
         else:
-            known.leaving = False
+            replica.leaving = False
 
     async def _poll_replica(self, replica_id: ReplicaId) -> None:
         load = self.replicas[replica_id]
         report = await self._get_json(self.addresses[replica_id], "/load")
         if report is None:
-            # Dead or unreachable, though the list may show it live for a
-            # while: no request has to find that out.
+            # The replica is dead or unreachable although the list may still show it
+            # as live. Mark it now, so that no request has to fail first.
             load.failed(time.time())
             return
         load.capacity = int(report.get("capacity", load.capacity))
@@ -186,9 +185,9 @@
         answer = await self._get_json(self.addresses[replica_id], path)
         if answer is None:
             return
-        # An event may come after the block was used again or evicted, or
-        # never: the index only guides a choice, so a wrong entry costs one
-        # prompt read again and ages out.
+        # An event may arrive after the block was reused or evicted, or never. The
+        # index only guides the choice of a replica, so a wrong entry costs one more
+        # prefill of a prompt and ages out.
         cache = self.replicas[replica_id].cache
         stored = [block for kind, block in answer["events"] if kind == "stored"]
         cache.touch(stored)
@@ -198,7 +197,7 @@
         self._cache_events_from[replica_id] = int(answer["next"])
 
     async def _get_json(self, address: str, path: str) -> Any:
-        """The JSON answer, or ``None`` if it did not come in time."""
+        """The JSON body, or ``None`` if no valid answer arrived in time."""
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=self._poll_s)
         try:
--- a/src/celerytrack/entry/ledger_keeper.py
+++ b/src/celerytrack/entry/ledger_keeper.py
@@ -363,14 +363,14 @@
             await asyncio.sleep(_SETTLE_INTERVAL_S)
             now_s = time.monotonic()
             self._settle_own(now_s)
-            self._reclaim_gone(now_s)
+            self._reclaim_grants(now_s)
             self._maybe_snapshot()
 
     def _settle_own(self, now_s: float, *, all_grants: bool = False) -> None:
         for grant in self.book.settleable(now_s, all_grants=all_grants):
             self._settle(grant.grant_id, Event.GRANT_SETTLED)
 
-    def _reclaim_gone(self, now_s: float) -> None:
+    def _reclaim_grants(self, now_s: float) -> None:
         holders = {g.entry for g in self.ledger.grants.values()}
         gone = [
             e
--- a/src/celerytrack/entry/metrics.py
+++ b/src/celerytrack/entry/metrics.py
@@ -1,4 +1,4 @@
-"""The entry's Prometheus metrics, on a registry of its own."""
+"""The entry's Prometheus metrics, in their own registry."""
 
 import attrs
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
@@ -8,7 +8,7 @@
 
 @attrs.define
 class EntryMetrics:
-    """Counters and histograms exported on ``/metrics``."""
+    """The metrics exported on ``/metrics``."""
 
     registry: CollectorRegistry = attrs.field(factory=CollectorRegistry)
     requests: Counter = attrs.field(init=False)
--- a/src/celerytrack/entry/peers.py
+++ b/src/celerytrack/entry/peers.py
@@ -1,10 +1,9 @@
-"""What entries tell each other: that they live, whether they drain, and what
-they have running at each replica.
+"""Heartbeats between entries: liveness, draining and each entry's load at the replicas.
 
-Each entry publishes its news several times a second on a ZeroMQ PUB socket
-and subscribes to its peers'. A heartbeat that stays away takes an entry out
-of the address answers; the load in it is what the replicas' own reports,
-which lag, cannot say. News may be lost or late: the next one replaces it.
+Each entry publishes a heartbeat several times a second on a ZeroMQ PUB socket and
+subscribes to those of its peers. Callers are not given the address of an entry whose
+heartbeats are missing. The load in a heartbeat is fresher than the replicas' own
+reports, which lag. A heartbeat may be lost or late; the next one replaces it.
 """
 
 import asyncio
@@ -27,7 +26,7 @@
 
 HEARTBEAT_S = 0.1
 _PING_MS = 1000
-"""A connection that went silent without a reset is found by pings."""
+"""Pings detect a connection that was lost without a reset."""
 _PING_TIMEOUT_MS = 3000
 
 
@@ -35,9 +34,9 @@
 class PeerNews:
     """One heartbeat.
 
-    :ivar seq: rises within one life (``boot_id``) of the entry.
-    :ivar loads: what the entry has at each replica; none where absent.
-    :ivar findings: what it found of requests that end replicas.
+    :ivar seq: increases within one start of the entry's process (``boot_id``).
+    :ivar loads: the entry's own load at each replica; absent if it has none there.
+    :ivar findings: its findings about requests that crash replicas.
     """
 
     entry: EntryId
@@ -48,7 +47,7 @@
     findings: Findings | None = None
 
     def to_bytes(self) -> bytes:
-        """The heartbeat on the wire."""
+        """The wire format of the heartbeat."""
         loads = {r: [n.running, n.prefill_tokens] for r, n in self.loads.items()}
         found = encode_findings(self.findings) if self.findings else b""
         return msgpack.packb(
@@ -57,14 +56,14 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "PeerNews":
-        """What :meth:`to_bytes` wrote.
+        """Parse the output of :meth:`to_bytes`.
 
-        :raises ValueError: for bytes that are no heartbeat.
+        :raises ValueError: if ``data`` is not a heartbeat.
         """
         try:
             entry, boot_id, seq, draining, loads, *more = msgpack.unpackb(data)
             parsed = {ReplicaId(r): Load(n, t) for r, (n, t) in loads.items()}
-            # A release that knows of no such requests tells nothing of them.
+            # Releases before crash tracking send no findings.
             findings = decode_findings(more[0]) if more and more[0] else None
         except (msgpack.UnpackException, TypeError, AttributeError) as exc:
             raise ValueError(f"not a heartbeat: {exc}") from None
@@ -76,7 +75,7 @@
 
     :param address: ``host:port`` this entry publishes on.
     :param describe: makes the next heartbeat, given its sequence number.
-    :param on_news: takes a peer's heartbeat.
+    :param on_news: called with each heartbeat of a peer.
     """
 
     def __init__(
@@ -93,7 +92,7 @@
         self._sub = self._socket(zmq.SUB)
         self._sub.setsockopt(zmq.SUBSCRIBE, b"")
         self._connected: set[str] = set()
-        self._last: dict[str, int] = {}
+        self._last_seq: dict[str, int] = {}
 
     def start(self) -> list[asyncio.Task[None]]:
         """Open the publishing port and start the link's tasks."""
@@ -110,7 +109,6 @@
             self._sub.connect(f"tcp://{address}")
 
     def close(self) -> None:
-        """Close the sockets."""
         self._context.destroy(linger=0)
 
     def _socket(self, kind: int) -> zmq.asyncio.Socket:
@@ -133,9 +131,9 @@
             except ValueError as exc:
                 log_event(_log, Event.PEER_NEWS_BAD, logging.WARNING, error=str(exc))
                 continue
-            # After a reconnect, queued heartbeats of the same life may come
-            # behind a newer one: they must not bring an old state back.
-            life = f"{news.entry}/{news.boot_id}"
-            if news.seq > self._last.get(life, -1):
-                self._last[life] = news.seq
+            # After a reconnect, queued heartbeats of the same process may arrive
+            # after a newer one. They must not restore an old state.
+            sender = f"{news.entry}/{news.boot_id}"
+            if news.seq > self._last_seq.get(sender, -1):
+                self._last_seq[sender] = news.seq
                 self._on_news(news)
--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -1,4 +1,4 @@
-"""What one entry instance knows, and the tasks that keep it up to date."""
+"""The state of one entry instance and the tasks that keep it up to date."""
 
 import asyncio
 import logging
@@ -30,16 +30,16 @@
 _log = logging.getLogger(__name__)
 
 HEARD_AT_START_S = 0.5
-"""Longest wait for the others' heartbeats at a start: several of each."""
+"""Longest wait at startup for the peers' heartbeats; each sends several meanwhile."""
 _DRAIN_LEDGER_S = 10.0
-"""Longest a drain waits for the log to take the last bills and settles."""
+"""Longest a drain waits for the log to accept the last bills and settles."""
 
 
 class EntryState:
     """One entry instance: its state and its tasks.
 
-    :param fleet: the layout read at start.
-    :param entry_id: which entry of ``fleet`` this process is.
+    :param fleet: the deployment's settings, read at startup.
+    :param entry_id: the entry of ``fleet`` that this process is.
     """
 
     def __init__(self, fleet: FleetSettings, entry_id: str) -> None:
@@ -49,7 +49,9 @@
         self.boot_id = uuid.uuid4().hex[:8]
         self.log = LogClient(fleet.platform.log_address, entry_id)
         self.config = ConfigFollower(self.log, fleet.tuning.snapshot_every_s)
-        self.link = PeerLink(self.spec.peer_address, self._news, self._heard)
+        self.link = PeerLink(
+            self.spec.peer_address, self._make_heartbeat, self._apply_heartbeat
+        )
         self.view = FleetView(
             fleet.platform.instances_address,
             fleet.tuning.instance_poll_s,
@@ -61,7 +63,7 @@
             self.boot_id,
             self._grant_policy,
             fleet.tuning,
-            self._is_chosen,
+            self._is_elected,
             lambda entry: self.view.is_gone(entry, time.monotonic()),
         )
         self.claims = Claims(self.keeper.writer, lambda: self.keeper.ledger)
@@ -80,18 +82,18 @@
 
     @property
     def upstream(self) -> aiohttp.ClientSession:
-        """The session to engines and services."""
+        """The HTTP session for engines and services."""
         assert self._upstream is not None, "not started"
         return self._upstream
 
     def usable_entries(self, now_s: float) -> dict[EntryId, EntryInfo]:
-        """The entries to name to callers now, this one included."""
+        """The entries whose addresses callers may be given, this one included."""
         live = {e: i for e, i in self.view.entries.items() if i.usable(now_s)}
         if self.draining:
             live.pop(self.entry_id, None)
         else:
-            me = EntryInfo(self.entry_id, self.spec.address, self.spec.zone)
-            live[self.entry_id] = self.view.entries.get(self.entry_id) or me
+            info = EntryInfo(self.entry_id, self.spec.address, self.spec.zone)
+            live[self.entry_id] = self.view.entries.get(self.entry_id) or info
         return live
 
     def enter(self) -> None:
@@ -100,7 +102,7 @@
         self.metrics.in_flight.set(self.in_flight)
 
     def leave(self) -> None:
-        """A request ended."""
+        """Count a request that ended."""
         self.in_flight -= 1
         self.metrics.in_flight.set(self.in_flight)
         if self.in_flight == 0:
@@ -122,7 +124,7 @@
             asyncio.create_task(self.view.run()),
         ]
         self._tasks += self.link.start()
-        await self._hear_the_others()
+        await self._wait_for_peers()
         self._tasks += await self.keeper.start()
         await asyncio.wait_for(self.config.wait_for_config(), 30.0)
         log_event(
@@ -134,43 +136,48 @@
             config_version=self.config.version,
         )
 
-    async def _hear_the_others(self) -> None:
-        """Wait for a heartbeat of each entry listed: a request that is known to end
-        replicas must be known here too."""
-        ends_s = time.monotonic() + HEARD_AT_START_S
-        while (now_s := time.monotonic()) < ends_s:
-            others = (i for e, i in self.view.entries.items() if e != self.entry_id)
-            if all(info.runs(now_s) for info in others):
+    async def _wait_for_peers(self) -> None:
+        """Wait for a heartbeat of each listed entry, for a limited time.
+
+        This entry must know the requests that its peers know to crash replicas
+        before it serves.
+        """
+        until_s = time.monotonic() + HEARD_AT_START_S
+        while (now_s := time.monotonic()) < until_s:
+            peers = (i for e, i in self.view.entries.items() if e != self.entry_id)
+            if all(info.runs(now_s) for info in peers):
                 return
             await asyncio.sleep(HEARTBEAT_S / 2)
 
     async def drain(self) -> None:
-        """Take no new work, finish streams, bill, settle; the process goes on.
+        """Accept no new requests, finish the current ones, bill and settle.
 
-        Nothing ends it, so a request that takes longer is not given up.
+        The process keeps running, so requests that outlast the grace time are not cut
+        off.
         """
-        self._take_no_more()
-        await self._idle_until(time.monotonic() + self.tuning.drain_grace_s)
+        self._start_draining()
+        await self._wait_idle(time.monotonic() + self.tuning.drain_grace_s)
         await self.keeper.settle_all(time.monotonic() + _DRAIN_LEDGER_S)
 
     async def stop(self) -> StopTimes:
-        """Planned stop: the same within the time left before the process is killed.
+        """Drain within the time that is left before the supervisor kills the process.
 
-        A drain may have begun before: what it waits for is waited for here again.
+        Also after an earlier :meth:`drain`: the requests and records it waits for are
+        waited for here again.
 
-        :returns: the times of the stop, of which closing is left.
+        :returns: the schedule of the stop; the closing stages are left to the caller.
         """
         times = plan_stop(self.tuning, time.monotonic())
-        self._take_no_more()
+        self._start_draining()
         self.attempts_limit.set_end(times.requests_until_s)
-        await self._idle_until(times.told_until_s)
+        await self._wait_idle(times.told_until_s)
         self.log_stage("requests over", times)
         await self.keeper.settle_all(times.ledger_until_s)
         self.log_stage("ledger written", times)
         return times
 
     async def close(self) -> None:
-        """Cancel the tasks and close sessions."""
+        """Cancel the tasks and close the sessions."""
         self.link.close()
         for task in self._tasks:
             task.cancel()
@@ -183,7 +190,7 @@
         )
 
     def log_stage(self, stage: str, times: StopTimes) -> None:
-        """Say how far the planned stop is, and what it leaves undone."""
+        """Log that a stage of the planned stop has ended, and what is unfinished."""
         log_event(
             _log,
             Event.STOP_STAGE,
@@ -193,7 +200,7 @@
             ledger_backlog=self.keeper.writer.backlog,
         )
 
-    def _take_no_more(self) -> None:
+    def _start_draining(self) -> None:
         if self.draining:
             return
         self.draining = True
@@ -201,8 +208,8 @@
             _log, Event.ENTRY_DRAINING, entry=self.entry_id, in_flight=self.in_flight
         )
 
-    async def _idle_until(self, until_s: float) -> None:
-        """Wait for the requests in progress, until then at most."""
+    async def _wait_idle(self, until_s: float) -> None:
+        """Wait for the requests in progress, until ``until_s`` at most."""
         if not self.in_flight:
             return
         self._idle.clear()
@@ -211,7 +218,7 @@
         except TimeoutError:
             return
 
-    def _news(self, seq: int) -> PeerNews:
+    def _make_heartbeat(self, seq: int) -> PeerNews:
         loads = {
             r: replica.own
             for r, replica in self.view.replicas.items()
@@ -222,24 +229,24 @@
             self.entry_id, self.boot_id, seq, self.draining, loads, findings
         )
 
-    def _heard(self, news: PeerNews) -> None:
+    def _apply_heartbeat(self, news: PeerNews) -> None:
         if news.entry == self.entry_id:
             return
         now_s = time.monotonic()
         self.view.heard(news, now_s)
-        # An entry that tells nothing has no trial any more either.
+        # A heartbeat without findings also means that its entry runs no trial.
         self.suspects.hear(news.findings or Findings(news.entry), now_s)
 
     def _grant_policy(self) -> GrantPolicy:
         return self.config.config.grant if self.config.config else GrantPolicy()
 
-    def _is_chosen(self, duty: str) -> bool:
-        """Whether this entry does the fleet's duty named ``duty``.
+    def _is_elected(self, task: str) -> bool:
+        """Whether this entry runs the fleet's task named ``task``.
 
-        Rendezvous over the live entries: one entry does it as a rule; two
-        may for a moment when their views differ, which every duty bears.
+        Rendezvous hashing elects one of the live entries. Two entries may run a task
+        for a moment while their views differ, and every task tolerates that.
         """
-        # Over the entries that answer: the instance list shows a dead entry
-        # live for a while, and a duty given to it would be nobody's.
+        # Only entries with recent heartbeats count. The instance list shows a dead
+        # entry as live for a while, and a task that it was elected for would not run.
         live = list(self.usable_entries(time.monotonic()))
-        return rendezvous(duty, live or [self.entry_id], 1)[0] == self.entry_id
+        return rendezvous(task, live or [self.entry_id], 1)[0] == self.entry_id
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -73,5 +73,5 @@
     def test_version_in_force(self, records, version):
         follower = ConfigFollower(None)
         for offset, record in records:
-            follower._take(offset, record)
+            follower._apply(offset, record)
         self.assertEqual(follower.version, version)
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -75,10 +75,10 @@
         other = EntryId("entry-2")
         trial = Trial(KNOWN, EndpointId("r"), 60.0)
         heartbeat = PeerNews(other, "b", 1, False, {}, Findings(other, trials=(trial,)))
-        state._heard(heartbeat)
+        state._apply_heartbeat(heartbeat)
         now_s = time.monotonic()
         self.assertEqual(state.suspects.book.endpoints_on_trial(now_s), {"r"})
-        state._heard(attrs.evolve(heartbeat, seq=2, findings=None))
+        state._apply_heartbeat(attrs.evolve(heartbeat, seq=2, findings=None))
         self.assertEqual(state.suspects.book.endpoints_on_trial(now_s), set())
         state.link.close()
 
