--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the entries' heartbeats and what is made of them."""
+"""Heartbeats between entries and their use in the view of the fleet."""
 
 import unittest
 
@@ -13,16 +13,16 @@
 E2, R1 = EntryId("entry-2"), ReplicaId("r1")
 
 
-def _news(**changes) -> PeerNews:
+def _heartbeat(**changes) -> PeerNews:
     fields = {"entry": E2, "boot_id": "b", "seq": 1, "draining": False, "loads": {}}
     return PeerNews(**{**fields, **changes})
 
 
-class PeerNewsTest(unittest.TestCase):
+class HeartbeatTest(unittest.TestCase):
     @params({}, {"draining": True}, {"loads": {R1: Load(3, 1200)}})
-    def test_what_is_written_is_read(self, changes):
-        news = _news(**changes)
-        self.assertEqual(PeerNews.from_bytes(news.to_bytes()), news)
+    def test_round_trip(self, changes):
+        heartbeat = _heartbeat(**changes)
+        self.assertEqual(PeerNews.from_bytes(heartbeat.to_bytes()), heartbeat)
 
     @params(
         b"", b"GET / HTTP/1.1", msgpack.packb({"a": 1}), msgpack.packb([1, 2, 3, 4, 5])
@@ -40,30 +40,30 @@
         return view
 
     @params(
-        # heard ago, draining, listed leaving, named to callers?
+        # age of the last heartbeat, draining, listed as leaving, usable
         (0.1, False, False, True),
         (HEARD_WITHIN_S + 0.1, False, False, False),
         (0.1, True, False, False),
         (0.1, False, True, False),
     )
-    def test_entries_named_to_callers(self, ago_s, draining, leaving, named):
+    def test_entries_whose_address_callers_get(self, age_s, draining, leaving, usable):
         view = self._view()
-        view.heard(_news(draining=draining), 100.0 - ago_s)
+        view.heard(_heartbeat(draining=draining), 100.0 - age_s)
         view.entries[E2].leaving = leaving
-        self.assertEqual(view.entries[E2].usable(100.0), named)
+        self.assertEqual(view.entries[E2].usable(100.0), usable)
 
     @params((0.1, False), (HEARD_WITHIN_S + 0.1, True))
-    def test_an_entry_that_speaks_is_not_gone(self, ago_s, gone):
-        """Symptom: a live entry's grants are taken back. Sequence: the
-        platform's list drops an entry that was cut off from it for a while
-        but serves on. Cause: trusting the lagging list over heartbeats."""
+    def test_an_entry_with_heartbeats_is_not_gone(self, age_s, gone):
+        """A live entry's grants were reclaimed. The platform's list had dropped the
+        entry, which was cut off from the platform for a while but still served, and
+        the lagging list was trusted over the entry's heartbeats."""
         view = self._view()
         view.entries[E2].gone = True
-        view.heard(_news(), 100.0 - ago_s)
+        view.heard(_heartbeat(), 100.0 - age_s)
         self.assertEqual(view.is_gone(E2, 100.0), gone)
 
-    def test_a_load_no_longer_mentioned_is_over(self):
+    def test_a_replica_missing_in_a_heartbeat_has_no_load(self):
         view = self._view()
         for loads, expected in (({R1: Load(3, 900)}, Load(3, 900)), ({}, Load())):
-            view.heard(_news(loads=loads), 100.0)
+            view.heard(_heartbeat(loads=loads), 100.0)
             self.assertEqual(view.replicas[R1].peers[E2][1], expected)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Trying one request on several replicas."""
+"""Attempts of one request on several replicas."""
 
 import asyncio
 import random
@@ -20,14 +20,14 @@
 from celerytrack.routing import make_chooser
 from celerytrack.verdict import Reason, Verdict, did_not_run, may_have_run
 
-NOT_RUN = Failure(did_not_run(Reason.UPSTREAM_FAILED))
-MAYBE = Failure(may_have_run(Reason.UPSTREAM_FAILED))
+DID_NOT_RUN = Failure(did_not_run(Reason.UPSTREAM_FAILED))
+MAY_HAVE_RUN = Failure(may_have_run(Reason.UPSTREAM_FAILED))
 
 
 def _suspects() -> EntrySuspects:
-    """No replica ends here."""
+    """Suspects whose check for a crashed replica is disabled."""
     suspects = EntrySuspects(EntryId("e"))
-    suspects.broke = lambda *broken: None
+    suspects.broke = lambda *args: None
     return suspects
 
 
@@ -53,17 +53,19 @@
     )
 
 
-def _run(state, story: str, priority: int = 0):
-    """Try one request whose attempts end as ``story`` says: ``t`` failed behind
-    some tokens, ``f`` failed without any, ``.`` went well."""
+def _run(state, outcomes: str, priority: int = 0):
+    """Send one request whose attempts end as in ``outcomes``.
+
+    ``t`` fails after some tokens, ``f`` fails without any, ``.`` succeeds.
+    """
     tried = []
 
     async def attempt(sent):
         tried.append(sent.replica.replica_id)
-        step = story[len(tried) - 1]
-        if step == "t":
+        outcome = outcomes[len(tried) - 1]
+        if outcome == "t":
             sent.first_token(0.0)
-        return Success(1) if step == "." else MAYBE
+        return Success(1) if outcome == "." else MAY_HAVE_RUN
 
     work = types.SimpleNamespace(idempotent=True, model="m", priority=priority)
     with mock.patch("celerytrack.entry.upstream.asyncio.sleep"):
@@ -75,20 +77,22 @@
 
 class TryReplicasTest(unittest.TestCase):
     @params(
-        # outcomes of the attempts, may run twice, attempts, waits, verdict
+        # outcomes of the attempts, idempotent, attempts, backoffs, verdict
         ([Success(1)], False, 1, 0, None),
-        ([NOT_RUN, Success(1)], False, 2, 1, None),
-        ([MAYBE, Success(1)], False, 1, 0, Verdict.MAY_HAVE_RUN),
-        ([MAYBE, Success(1)], True, 2, 1, None),
-        ([NOT_RUN] * 4, False, 3, 2, Verdict.DID_NOT_RUN),
-        ([NOT_RUN, MAYBE, NOT_RUN], True, 3, 2, Verdict.MAY_HAVE_RUN),
+        ([DID_NOT_RUN, Success(1)], False, 2, 1, None),
+        ([MAY_HAVE_RUN, Success(1)], False, 1, 0, Verdict.MAY_HAVE_RUN),
+        ([MAY_HAVE_RUN, Success(1)], True, 2, 1, None),
+        ([DID_NOT_RUN] * 4, False, 3, 2, Verdict.DID_NOT_RUN),
+        ([DID_NOT_RUN, MAY_HAVE_RUN, DID_NOT_RUN], True, 3, 2, Verdict.MAY_HAVE_RUN),
     )
-    def test_attempts(self, outcomes, twice, attempts, waits, verdict):
-        """Symptom: a refused caller hears it late, and other requests lack
-        the retries it used up. Sequence: the last of three attempts fails.
-        Cause: backing off, and paying for a retry, that is never made."""
+    def test_the_last_attempt_takes_no_backoff_and_no_retry(
+        self, outcomes, idempotent, attempts, backoffs, verdict
+    ):
+        """After the last of three attempts failed, the entry backed off and took a
+        retry from the budget for an attempt that was never made. The caller got its
+        refusal late, and other requests lacked the retry."""
         state, tried = _state(), []
-        work = types.SimpleNamespace(idempotent=twice, model="m", priority=0)
+        work = types.SimpleNamespace(idempotent=idempotent, model="m", priority=0)
 
         async def attempt(sent):
             tried.append(sent.replica.replica_id)
@@ -99,11 +103,11 @@
                 try_replicas(state, _admitted(work), Ask("m", 0), attempt)
             )
         self.assertEqual((len(set(tried)), len(tried)), (attempts, attempts))
-        self.assertEqual(sleep.await_count, waits)
-        left = 0
+        self.assertEqual(sleep.await_count, backoffs)
+        retries_left = 0
         while state.retries.take():
-            left += 1
-        self.assertEqual(left, 10 - waits)
+            retries_left += 1
+        self.assertEqual(retries_left, 10 - backoffs)
         match result:
             case Failure(refusal):
                 self.assertEqual(refusal.verdict, verdict)
@@ -111,49 +115,51 @@
                 self.assertIsNone(verdict)
 
     @params(
-        # outcomes of the attempts; with tokens (t) or without
-        ("tft.",),  # killed, killed before its first token, broken off
+        # outcomes of the attempts, with tokens (t) or without (f)
+        ("tft.",),  # killed, killed before the first token, cut off
         ("ftfft.",),
-        ("tttttttt.",),  # more often than there are replicas
+        ("tttttttt.",),  # more attempts than replicas
     )
-    def test_an_answer_that_goes_on_is_not_given_up(self, story):
-        """An answer that each attempt brought further is cut after three."""
-        result, tried = _run(_state(), story)
-        self.assertEqual((result, len(tried)), (Success(1), len(story)))
+    def test_an_answer_that_makes_progress_is_continued(self, outcomes):
+        """An answer was cut after three attempts although each had added tokens."""
+        result, tried = _run(_state(), outcomes)
+        self.assertEqual((result, len(tried)), (Success(1), len(outcomes)))
 
-    def test_an_answer_that_stands_still_is_given_up(self):
-        """A begun answer is tried for ever where nothing goes on."""
+    def test_an_answer_without_progress_is_cut(self):
+        """A started answer is retried forever although no attempt adds a token."""
         result, tried = _run(_state(), "tfff.")
         self.assertEqual((type(result), len(tried)), (Failure, 4))
 
-    def test_begun_answers_go_on_without_retries(self):
-        """Answers in progress are cut because others used the retries up."""
+    def test_started_answers_continue_without_retry_budget(self):
+        """Answers in progress were cut because other requests had used up the
+        retries."""
         state = _state()
         for _ in range(30):
             self.assertEqual(_run(state, "t.")[0], Success(1))
         self.assertTrue(state.retries.take())
 
-    def test_an_answer_not_begun_needs_a_retry(self):
-        """New requests are sent again and again in an outage."""
+    def test_an_answer_not_started_needs_retry_budget(self):
+        """During an outage new requests are retried without limit."""
         state = _state()
         for _ in range(10):
             self.assertEqual(_run(state, "f.")[0], Success(1))
         self.assertEqual(type(_run(state, "f.")[0]), Failure)
 
     @params({"running": 16}, {"leaving": True})
-    def test_a_replica_that_failed_lately_is_better_than_none(self, barred):
-        """An answer is given up since the only sound replica cannot take it."""
+    def test_a_replica_that_failed_lately_is_used_if_no_other_can(self, state_of_b):
+        """An answer was cut because the only replica without recent failures was full
+        or leaving."""
         state = _state()
         a, b, *others = state.view.replicas.values()
-        b.own = Load(barred.get("running", 0))
-        b.leaving = barred.get("leaving", False)
+        b.own = Load(state_of_b.get("running", 0))
+        b.leaving = state_of_b.get("leaving", False)
         for replica in others:
             replica.failed(0.0)
         result, tried = _run(state, "t.")
         self.assertEqual((result, tried), (Success(1), [a.replica_id, "c"]))
 
-    def test_a_begun_answer_is_not_shed(self):
-        """An answer of a late rank is cut while other replicas fill up."""
+    def test_a_started_answer_is_not_shed(self):
+        """A started answer of low priority was cut while other replicas filled up."""
         state = _state()
         a, *others = state.view.replicas.values()
         for replica in others:
@@ -164,31 +170,32 @@
 
 class StopTest(unittest.TestCase):
     @params(
-        # seconds left, attempts begun, reason, verdict
+        # seconds left, attempts started, reason, verdict
         (-1.0, 0, Reason.DRAINING, Verdict.DID_NOT_RUN),
         (0.05, 1, Reason.DEADLINE, Verdict.MAY_HAVE_RUN),
     )
-    def test_attempts_end_with_the_time_left(self, left_s, begun, reason, verdict):
-        """A stop waits for a silent replica, or begins what it cannot end."""
-        result, attempts = asyncio.run(self._silent(left_s))
+    def test_attempts_end_at_the_deadline(self, left_s, started, reason, verdict):
+        """A stop waits for a replica that does not answer, or starts an attempt that
+        it cannot finish."""
+        result, attempts = asyncio.run(self._run_unanswered(left_s))
         refusal = result.failure()
-        self.assertEqual(attempts, begun)
+        self.assertEqual(attempts, started)
         self.assertEqual((refusal.reason, refusal.verdict), (reason, verdict))
 
-    async def _silent(self, left_s: float):
+    async def _run_unanswered(self, left_s: float):
         state = _state()
-        begun = []
+        started = []
 
         async def attempt(sent):
-            begun.append(sent)
+            started.append(sent)
             await asyncio.Event().wait()
 
         work = types.SimpleNamespace(idempotent=True, model="m", priority=0)
         trying = asyncio.create_task(
             try_replicas(state, _admitted(work), Ask("m", 0), attempt)
         )
-        # An end in the past is known before; another is set while it waits.
+        # A deadline in the past is set before the attempt, another one during it.
         if left_s > 0:
             await asyncio.sleep(0.01)
         state.attempts_limit.set_end(time.monotonic() + left_s)
-        return await asyncio.wait_for(trying, 1.0), len(begun)
+        return await asyncio.wait_for(trying, 1.0), len(started)
