--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -15,9 +15,9 @@
 from celerytrack.entry.ledger_keeper import LedgerKeeper
 from celerytrack.entry.metrics import EntryMetrics
 from celerytrack.entry.peers import HEARTBEAT_S, PeerLink, PeerNews
+from celerytrack.entry.shared_deadline import TimeLimit
 from celerytrack.entry.stopping import StopTimes, plan_stop
 from celerytrack.entry.suspects import EntrySuspects
-from celerytrack.entry.time_limit import TimeLimit
 from celerytrack.events import Event, log_event
 from celerytrack.findings import Findings
 from celerytrack.ids import EntryId
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -14,8 +14,8 @@
 
 from celerytrack.entry.admission import Admitted, place, standing_of
 from celerytrack.entry.refusals import RefusedError
+from celerytrack.entry.shared_deadline import TimeIsUpError
 from celerytrack.entry.state import EntryState
-from celerytrack.entry.time_limit import TimeIsUpError
 from celerytrack.events import Event, log_event
 from celerytrack.ids import ReplicaId, RequestId
 from celerytrack.replica_load import Ask, Attempt, ReplicaLoad
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,8 +10,8 @@
 from nose2.tools import params
 from returns.result import Failure, Success
 
+from celerytrack.entry.shared_deadline import TimeLimit
 from celerytrack.entry.suspects import EntrySuspects
-from celerytrack.entry.time_limit import TimeLimit
 from celerytrack.entry.upstream import try_replicas
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.ids import EntryId, ReplicaId, RequestId, Zone
