--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -12,7 +12,7 @@
 from celerytrack.entry.claims import Claims
 from celerytrack.entry.config_follower import ConfigFollower
 from celerytrack.entry.fleet_view import EntryInfo, FleetView
-from celerytrack.entry.ledger_keeper import LedgerKeeper
+from celerytrack.entry.grant_manager import LedgerKeeper
 from celerytrack.entry.metrics import EntryMetrics
 from celerytrack.entry.peers import HEARTBEAT_S, PeerLink, PeerNews
 from celerytrack.entry.shared_deadline import TimeLimit
