--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class Admitted:
+class AdmittedRequest:
     """A request that passed the checks; nothing is reserved for it yet.
 
     :ivar key: the caller's idempotency key, if it sent one.
@@ -84,7 +84,9 @@
     return account
 
 
-async def admit(state: EntryState, request: web.Request, kind: BackendKind) -> Admitted:
+async def admit(
+    state: EntryState, request: web.Request, kind: BackendKind
+) -> AdmittedRequest:
     """Check a request before anything is reserved for it.
 
     :raises RefusedError: ``did_not_run`` for a bad body, key or class, while the
@@ -114,7 +116,7 @@
     except RefusedError as exc:
         raise RefusedError(exc.refusal, name) from None
     rid = request_id_for(account.account_id, key)
-    return Admitted(body, account, work, key, rid, f"{account.account_id}:{key}")
+    return AdmittedRequest(body, account, work, key, rid, f"{account.account_id}:{key}")
 
 
 def _work_class(config: Config, name: str, kind: BackendKind) -> WorkClass:
@@ -130,7 +132,7 @@
     request: web.Request,
     kind: BackendKind,
     replay: Callable[[StoredAnswer], Awaitable[web.StreamResponse]],
-    serve: Callable[[Admitted], Awaitable[web.StreamResponse]],
+    serve: Callable[[AdmittedRequest], Awaitable[web.StreamResponse]],
 ) -> web.StreamResponse:
     """Answer one request: replay a stored answer, serve it, or refuse it.
 
@@ -145,7 +147,7 @@
     if stored is not None:
         return await replay(stored)
     try:
-        hold_back(state, admitted, time.monotonic())
+        refuse_quarantined(state, admitted, time.monotonic())
         with _in_progress(state, admitted):
             return await serve(admitted)
     except RefusedError as exc:
@@ -153,24 +155,28 @@
         return refuse(state.metrics, name, exc.refusal, rid)
 
 
-def standing_of(state: EntryState, admitted: Admitted, now_s: float) -> Standing:
+def suspect_state_of(
+    state: EntryState, admitted: AdmittedRequest, now_s: float
+) -> Standing:
     """Whether the request is suspected of crashing replicas, and how strongly."""
     if not state.suspects.book:
         return Standing.CLEAR
     return state.suspects.standing(admitted.fingerprint, admitted.work, now_s)
 
 
-def hold_back(state: EntryState, admitted: Admitted, now_s: float) -> None:
+def refuse_quarantined(
+    state: EntryState, admitted: AdmittedRequest, now_s: float
+) -> None:
     """Refuse a quarantined request before anything is reserved for it.
 
     :raises RefusedError: if replicas crashed repeatedly while they ran the request.
     """
-    if standing_of(state, admitted, now_s) is Standing.SHUT_OUT:
+    if suspect_state_of(state, admitted, now_s) is Standing.SHUT_OUT:
         raise RefusedError(state.suspects.held_back(admitted.fingerprint, now_s))
 
 
 @contextlib.contextmanager
-def _in_progress(state: EntryState, admitted: Admitted) -> Iterator[None]:
+def _in_progress(state: EntryState, admitted: AdmittedRequest) -> Iterator[None]:
     """Count a request in flight and lock its idempotency key.
 
     :raises RefusedError: ``may_have_run`` if a request with the same key is in
@@ -194,7 +200,9 @@
         state.leave()
 
 
-async def reserve(state: EntryState, admitted: Admitted, cost: int) -> Reservation:
+async def reserve(
+    state: EntryState, admitted: AdmittedRequest, cost: int
+) -> Reservation:
     """Reserve ``cost`` tokens, waiting a bounded time for a grant.
 
     :raises RefusedError: ``did_not_run``; its reason says whether the budget is used
@@ -235,7 +243,7 @@
         await keeper.wait_changed(left_s)
 
 
-def place(
+def choose_replica(
     state: EntryState, work: WorkClass, ask: Ask, avoid: frozenset[ReplicaId]
 ) -> ReplicaLoad:
     """Choose the replica to send a request to.
--- a/src/celerytrack/entry/charging.py
+++ b/src/celerytrack/entry/charging.py
@@ -3,7 +3,7 @@
 import asyncio
 import logging
 
-from celerytrack.entry.admission import Admitted, reserve
+from celerytrack.entry.admission import AdmittedRequest, reserve
 from celerytrack.entry.refusals import RefusedError
 from celerytrack.entry.state import EntryState
 from celerytrack.escrow import Reservation
@@ -23,7 +23,7 @@
 
 
 async def charge(
-    state: EntryState, admitted: Admitted, reservation: Reservation, spent: int
+    state: EntryState, admitted: AdmittedRequest, reservation: Reservation, spent: int
 ) -> None:
     """Bill ``spent`` tokens of ``reservation`` and wait until the bill is on the log.
 
@@ -48,7 +48,7 @@
 
 
 async def _bill(
-    state: EntryState, admitted: Admitted, reservation: Reservation, spent: int
+    state: EntryState, admitted: AdmittedRequest, reservation: Reservation, spent: int
 ) -> BillOutcome | None:
     charges = state.keeper.book.commit(reservation, spent)
     bill = Bill(
--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from returns.result import Failure, Result, Success
 
-from celerytrack.entry.admission import Admitted, handle, reserve
+from celerytrack.entry.admission import AdmittedRequest, handle, reserve
 from celerytrack.entry.answers import StoredAnswer
 from celerytrack.entry.charging import charge
 from celerytrack.entry.refusals import RefusedError
@@ -49,7 +49,7 @@
 class _Answer:
     """One answer in progress."""
 
-    admitted: Admitted
+    admitted: AdmittedRequest
     prompt_tokens: int
     max_tokens: int
     ask: Ask
@@ -69,13 +69,13 @@
         log_event(_log, Event.REQUEST_REPLAYED, request_id=stored.request_id)
         return await _replay(request, stored)
 
-    async def serve(admitted: Admitted) -> web.StreamResponse:
+    async def serve(admitted: AdmittedRequest) -> web.StreamResponse:
         return await _serve(state, request, _new_answer(admitted, started_s))
 
     return await handle(state, request, BackendKind.ENGINE, replay, serve)
 
 
-def _new_answer(admitted: Admitted, started_s: float) -> _Answer:
+def _new_answer(admitted: AdmittedRequest, started_s: float) -> _Answer:
     work = admitted.work
     prompt = prompt_text(admitted.body)
     asked = admitted.body.get("max_tokens")
--- a/src/celerytrack/entry/claims.py
+++ b/src/celerytrack/entry/claims.py
@@ -69,7 +69,7 @@
         first. Its state before that proves nothing, since another entry may be
         recording its own intent at the same moment.
         """
-        known = self.known_claim(key)
+        known = self.find_claim(key)
         if known is not None:
             return known
         claim_id = f"{self._writer.writer_id}.{next(self._serial)}"
@@ -86,9 +86,9 @@
         found = self._ledger().intents.get(key)
         if found is not None and found.claim_id == claim_id:
             return Claim(ClaimState.OWNED, claim_id)
-        return self.known_claim(key) or Claim(ClaimState.UNREACHABLE)
+        return self.find_claim(key) or Claim(ClaimState.UNREACHABLE)
 
-    def known_claim(self, key: str) -> Claim | None:
+    def find_claim(self, key: str) -> Claim | None:
         """The claim on ``key`` in the replayed ledger, if there is one."""
         found = self._ledger().intents.get(key)
         if found is None:
--- a/src/celerytrack/entry/service_calls.py
+++ b/src/celerytrack/entry/service_calls.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from returns.result import Failure, Result, Success
 
-from celerytrack.entry.admission import Admitted, handle, place, reserve
+from celerytrack.entry.admission import AdmittedRequest, choose_replica, handle, reserve
 from celerytrack.entry.answers import StoredAnswer
 from celerytrack.entry.charging import charge
 from celerytrack.entry.claims import Claim, ClaimState
@@ -36,7 +36,7 @@
     async def replay(stored: StoredAnswer) -> web.StreamResponse:
         return web.json_response(stored.body, headers={"X-Replayed": "1"})
 
-    async def serve(admitted: Admitted) -> web.StreamResponse:
+    async def serve(admitted: AdmittedRequest) -> web.StreamResponse:
         answer = await _serve(state, admitted)
         name, rid = admitted.work.name, admitted.request_id
         state.metrics.ttft.labels(name).observe(time.monotonic() - started_s)
@@ -49,11 +49,11 @@
     return await handle(state, request, BackendKind.SERVICE, replay, serve)
 
 
-async def _serve(state: EntryState, admitted: Admitted) -> Any:
+async def _serve(state: EntryState, admitted: AdmittedRequest) -> Any:
     if not admitted.work.idempotent:
         # A call that is known to have started must not be refused with
         # did_not_run below, for lack of budget or of a replica.
-        known = state.claims.known_claim(admitted.cache_key)
+        known = state.claims.find_claim(admitted.cache_key)
         if known is not None:
             return _stored_answer(known)
     cost = admitted.work.service_cost_tokens
@@ -63,7 +63,7 @@
     try:
         # Check that some replica has room before the intent is recorded, so that a
         # call refused for lack of capacity can still be retried.
-        place(state, admitted.work, ask, frozenset())
+        choose_replica(state, admitted.work, ask, frozenset())
         if not admitted.work.idempotent:
             claim = await _claim(state, admitted)
         if claim.state is ClaimState.FINISHED:
@@ -86,7 +86,7 @@
     return answer
 
 
-async def _send(state: EntryState, admitted: Admitted, ask: Ask) -> Any:
+async def _send(state: EntryState, admitted: AdmittedRequest, ask: Ask) -> Any:
     sent = await try_replicas(
         state,
         admitted,
@@ -99,7 +99,7 @@
     return sent.unwrap()
 
 
-async def _claim(state: EntryState, admitted: Admitted) -> Claim:
+async def _claim(state: EntryState, admitted: AdmittedRequest) -> Claim:
     """Claim a non-idempotent call for this attempt.
 
     :returns: an owned claim, or a finished one with its answer.
@@ -130,7 +130,7 @@
 
 
 async def _attempt(
-    state: EntryState, sent: Attempt, admitted: Admitted
+    state: EntryState, sent: Attempt, admitted: AdmittedRequest
 ) -> Result[Any, Refusal]:
     address = state.view.addresses[sent.replica.replica_id]
     url = f"http://{address}/call/{admitted.work.name}"
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -12,7 +12,11 @@
 import attrs
 from returns.result import Failure, Result, Success
 
-from celerytrack.entry.admission import Admitted, place, standing_of
+from celerytrack.entry.admission import (
+    AdmittedRequest,
+    choose_replica,
+    suspect_state_of,
+)
 from celerytrack.entry.refusals import RefusedError
 from celerytrack.entry.shared_deadline import TimeIsUpError
 from celerytrack.entry.state import EntryState
@@ -121,7 +125,7 @@
 
 async def try_replicas(
     state: EntryState,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     ask: Ask,
     attempt: Callable[[Attempt], Awaitable[Result[T, Refusal]]],
 ) -> Result[T, Refusal]:
@@ -135,7 +139,7 @@
     while True:
         if state.attempts_limit.is_over(time.monotonic()):
             return Failure(history.refusal or not_begun())
-        standing = standing_of(state, admitted, time.monotonic())
+        standing = suspect_state_of(state, admitted, time.monotonic())
         if standing is Standing.SHUT_OUT:
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         try:
@@ -186,7 +190,7 @@
 
 def _choose_replica(
     state: EntryState,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     history: _AttemptHistory,
     ask: Ask,
     standing: Standing,
@@ -201,21 +205,21 @@
     isolated = state.suspects.apart(standing, time.monotonic())
     if isolated:
         try:
-            return place(
+            return choose_replica(
                 state, admitted.work, history.ask(ask), history.avoid | isolated
             )
         except RefusedError:
             pass
-    return place(state, admitted.work, history.ask(ask), history.avoid)
+    return choose_replica(state, admitted.work, history.ask(ask), history.avoid)
 
 
-def _quarantine_refusal(state: EntryState, admitted: Admitted) -> Refusal:
+def _quarantine_refusal(state: EntryState, admitted: AdmittedRequest) -> Refusal:
     return state.suspects.held_back(admitted.fingerprint, time.monotonic())
 
 
 def _record_outcome(
     state: EntryState,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     replica: ReplicaId,
     result: Result[T, Refusal],
 ) -> None:
