--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -16,12 +16,12 @@
 from celerytrack.entry.refusals import RefusedError
 from celerytrack.entry.state import EntryState
 from celerytrack.entry.upstream import (
-    CONNECTION_FAILED,
-    NEVER_CONNECTED,
+    CONNECT_ERRORS,
+    CONNECTION_ERRORS,
     bad_status,
-    failed,
+    replica_failed,
+    replica_unreachable,
     try_replicas,
-    unreachable,
 )
 from celerytrack.escrow import Reservation
 from celerytrack.events import Event, log_event
@@ -134,10 +134,10 @@
     headers = {"X-Request-Id": answer.admitted.request_id}
     try:
         upstream = await state.upstream.post(url, json=body, headers=headers)
-    except NEVER_CONNECTED:
-        return Failure(unreachable())
-    except CONNECTION_FAILED:
-        return Failure(failed())
+    except CONNECT_ERRORS:
+        return Failure(replica_unreachable())
+    except CONNECTION_ERRORS:
+        return Failure(replica_failed())
     try:
         if upstream.status != 200:
             return Failure(bad_status(upstream.status))
@@ -159,7 +159,7 @@
     try:
         async with asyncio.timeout(_END_WAIT_S):
             return await upstream.content.readany() == b""
-    except CONNECTION_FAILED:
+    except CONNECTION_ERRORS:
         return False
 
 
@@ -180,7 +180,7 @@
     while not relay.complete:
         try:
             data = await upstream.content.readany()
-        except CONNECTION_FAILED:
+        except CONNECTION_ERRORS:
             raise _StreamCutError from None
         if not data:
             raise _StreamCutError
--- a/src/celerytrack/entry/service_calls.py
+++ b/src/celerytrack/entry/service_calls.py
@@ -15,12 +15,12 @@
 from celerytrack.entry.refusals import RefusedError
 from celerytrack.entry.state import EntryState
 from celerytrack.entry.upstream import (
-    CONNECTION_FAILED,
-    NEVER_CONNECTED,
+    CONNECT_ERRORS,
+    CONNECTION_ERRORS,
     bad_status,
-    failed,
+    replica_failed,
+    replica_unreachable,
     try_replicas,
-    unreachable,
 )
 from celerytrack.events import Event, log_event
 from celerytrack.replica_load import Ask, Attempt
@@ -140,7 +140,7 @@
             if r.status != 200:
                 return Failure(bad_status(r.status))
             return Success(await r.json())
-    except NEVER_CONNECTED:
-        return Failure(unreachable())
-    except (*CONNECTION_FAILED, ValueError):
-        return Failure(failed())
+    except CONNECT_ERRORS:
+        return Failure(replica_unreachable())
+    except (*CONNECTION_ERRORS, ValueError):
+        return Failure(replica_failed())
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -33,20 +33,20 @@
 
 T = TypeVar("T")
 
-TRIAL_MOST_S = 60.0
+MAX_PROBE_S = 60.0
 """Longest trial of a suspect request, unless the entry that runs it reports
 otherwise."""
-ATTEMPTS = 3
+MAX_ATTEMPTS_WITHOUT_TOKENS = 3
 """Consecutive attempts of one request that may end without a token of the answer."""
-NEVER_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """Errors raised before a connection was made: the back end received nothing."""
-CONNECTION_FAILED = (aiohttp.ClientError, TimeoutError, ConnectionError)
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, ConnectionError)
 """Errors of an established connection: the back end may have read the request."""
 _NOT_RUN_STATUSES = frozenset({400, 404, 408, 421, 429, 503})
 """Statuses by which a back end guarantees that it did not run the request."""
 
 
-class GivenUp(enum.Enum):
+class NoRetryReason(enum.Enum):
     """Why a failed request is not retried at another replica."""
 
     ATTEMPTS = "attempts"
@@ -55,12 +55,12 @@
     NO_REPLICA = "no_replica"
 
 
-def unreachable() -> Refusal:
+def replica_unreachable() -> Refusal:
     """The refusal if no connection to the back end could be made."""
     return did_not_run(Reason.UPSTREAM_FAILED, 1.0, "back end unreachable")
 
 
-def failed() -> Refusal:
+def replica_failed() -> Refusal:
     """The refusal if the connection failed after the back end may have read the
     request."""
     return may_have_run(Reason.UPSTREAM_FAILED, 1.0, "back end failed")
@@ -74,13 +74,13 @@
     return may_have_run(Reason.UPSTREAM_FAILED, 1.0, detail)
 
 
-def out_of_time() -> Refusal:
+def stop_deadline_exceeded() -> Refusal:
     """The refusal if the entry stops before the back end's answer is complete."""
     detail = "the entry stopped before the answer was whole; ask /v1/route again"
     return may_have_run(Reason.DEADLINE, 0.0, detail)
 
 
-def not_begun() -> Refusal:
+def draining_before_send() -> Refusal:
     """The refusal if the entry stops before the request was sent to a back end."""
     detail = "entry is draining; ask /v1/route again"
     return did_not_run(Reason.DRAINING, 0.0, detail)
@@ -138,7 +138,7 @@
     work, request_id = admitted.work, admitted.request_id
     while True:
         if state.attempts_limit.is_over(time.monotonic()):
-            return Failure(history.refusal or not_begun())
+            return Failure(history.refusal or draining_before_send())
         standing = suspect_state_of(state, admitted, time.monotonic())
         if standing is Standing.SHUT_OUT:
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
@@ -146,10 +146,10 @@
             replica = _choose_replica(state, admitted, history, ask, standing)
         except RefusedError as exc:
             if history.refusal is not None:
-                _log_given_up(request_id, GivenUp.NO_REPLICA, exc.refusal)
+                _log_not_retried(request_id, NoRetryReason.NO_REPLICA, exc.refusal)
             return Failure(history.refusal or exc.refusal)
         if standing is Standing.ALONE and not await state.suspects.claim(
-            admitted.fingerprint, replica.replica_id, TRIAL_MOST_S
+            admitted.fingerprint, replica.replica_id, MAX_PROBE_S
         ):
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         now_s = time.time()
@@ -163,7 +163,7 @@
                 result = await attempt(sent)
         except TimeIsUpError:
             state.suspects.release(admitted)
-            return Failure(out_of_time())
+            return Failure(stop_deadline_exceeded())
         except BaseException:
             # The caller disconnected or the process stops: the trial has no result.
             state.suspects.release(admitted)
@@ -183,7 +183,7 @@
                 history.record_failure(sent, refusal)
                 why = _reason_not_to_retry(state, work, refusal, history)
                 if why is not None:
-                    _log_given_up(request_id, why, refusal)
+                    _log_not_retried(request_id, why, refusal)
                     return Failure(history.refusal or refusal)
         await asyncio.sleep(backoff_s(max(history.failed_in_row - 1, 0), state.rng))
 
@@ -238,17 +238,17 @@
 
 def _reason_not_to_retry(
     state: EntryState, work: WorkClass, refusal: Refusal, history: _AttemptHistory
-) -> GivenUp | None:
+) -> NoRetryReason | None:
     """Why the failed attempt is not retried; ``None`` if it is, which takes a token
     of the retry budget unless the answer has started."""
-    if history.failed_in_row == ATTEMPTS:
-        return GivenUp.ATTEMPTS
+    if history.failed_in_row == MAX_ATTEMPTS_WITHOUT_TOKENS:
+        return NoRetryReason.ATTEMPTS
     if not may_retry(refusal, work.idempotent):
-        return GivenUp.NOT_IDEMPOTENT
+        return NoRetryReason.NOT_IDEMPOTENT
     # A started answer can only be cut, not refused, and a caller that retries a cut
     # answer makes the engines generate all of it again.
     if not history.streaming and not state.retries.take():
-        return GivenUp.RETRY_BUDGET
+        return NoRetryReason.RETRY_BUDGET
     return None
 
 
@@ -266,7 +266,9 @@
     )
 
 
-def _log_given_up(request_id: RequestId, why: GivenUp, refusal: Refusal) -> None:
+def _log_not_retried(
+    request_id: RequestId, why: NoRetryReason, refusal: Refusal
+) -> None:
     log_event(
         _log,
         Event.REQUEST_GIVEN_UP,
