--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -183,7 +183,7 @@
         flight. That one may already be running, so this one must not start.
     """
     has_key = admitted.key is not None
-    if has_key and admitted.cache_key in state.answers.running:
+    if has_key and admitted.cache_key in state.answers.in_progress:
         raise RefusedError(
             may_have_run(
                 Reason.DUPLICATE_IN_FLIGHT, 1.0, "same idempotency key in progress"
@@ -191,12 +191,12 @@
         )
     state.enter()
     if has_key:
-        state.answers.running.add(admitted.cache_key)
+        state.answers.in_progress.add(admitted.cache_key)
     try:
         yield
     finally:
         if has_key:
-            state.answers.running.discard(admitted.cache_key)
+            state.answers.in_progress.discard(admitted.cache_key)
         state.leave()
 
 
--- a/src/celerytrack/entry/answers.py
+++ b/src/celerytrack/entry/answers.py
@@ -11,7 +11,7 @@
 import attrs
 from cachetools import LRUCache
 
-KEPT_BYTES = 16 * 1024 * 1024
+MAX_CACHE_BYTES = 16 * 1024 * 1024
 _OVERHEAD_BYTES = 512
 
 
@@ -35,7 +35,7 @@
 
 
 def _make_cache() -> LRUCache[str, StoredAnswer]:
-    return LRUCache(KEPT_BYTES, getsizeof=lambda answer: answer.size_bytes)
+    return LRUCache(MAX_CACHE_BYTES, getsizeof=lambda answer: answer.size_bytes)
 
 
 @attrs.define
@@ -43,12 +43,12 @@
     """Finished answers, and the keys of requests in progress, by ``account:key``."""
 
     done: LRUCache[str, StoredAnswer] = attrs.field(factory=_make_cache)
-    running: set[str] = attrs.field(factory=set)
+    in_progress: set[str] = attrs.field(factory=set)
 
     def get(self, key: str) -> StoredAnswer | None:
         return self.done.get(key)
 
     def put(self, key: str, answer: StoredAnswer) -> None:
         """Store ``answer`` for ``key`` unless it is larger than the whole cache."""
-        if answer.size_bytes <= KEPT_BYTES:
+        if answer.size_bytes <= MAX_CACHE_BYTES:
             self.done[key] = answer
--- a/src/celerytrack/entry/shared_deadline.py
+++ b/src/celerytrack/entry/shared_deadline.py
@@ -7,31 +7,31 @@
 from celerytrack.loop_time import loop_time
 
 
-class TimeIsUpError(Exception):
+class DeadlineExceededError(Exception):
     """The deadline passed before the work was done."""
 
 
-class TimeLimit:
-    """The deadline of all work that runs in :meth:`bounded`; none until it is set."""
+class SharedDeadline:
+    """The deadline of all work that runs in :meth:`scope`; none until it is set."""
 
     def __init__(self) -> None:
         self._until_s: float | None = None
         self._scopes: set[asyncio.Timeout] = set()
 
-    def is_over(self, now_s: float) -> bool:
+    def has_passed(self, now_s: float) -> bool:
         return self._until_s is not None and now_s >= self._until_s
 
-    def set_end(self, until_s: float) -> None:
+    def set(self, until_s: float) -> None:
         """End current and future work at ``until_s``, on the monotonic clock."""
         self._until_s = until_s
         for scope in self._scopes:
             scope.reschedule(loop_time(until_s))
 
     @contextlib.asynccontextmanager
-    async def bounded(self) -> AsyncIterator[None]:
+    async def scope(self) -> AsyncIterator[None]:
         """Run the body until the deadline, also if that is set or moved meanwhile.
 
-        :raises TimeIsUpError: if the deadline passed first.
+        :raises DeadlineExceededError: if the deadline passed first.
         """
         until_s = self._until_s
         scope = asyncio.timeout_at(None if until_s is None else loop_time(until_s))
@@ -41,7 +41,7 @@
                 yield
         except TimeoutError:
             if scope.expired():
-                raise TimeIsUpError from None
+                raise DeadlineExceededError from None
             raise
         finally:
             self._scopes.discard(scope)
--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -15,7 +15,7 @@
 from celerytrack.entry.grant_manager import LedgerKeeper
 from celerytrack.entry.metrics import EntryMetrics
 from celerytrack.entry.peers import HEARTBEAT_S, PeerLink, PeerNews
-from celerytrack.entry.shared_deadline import TimeLimit
+from celerytrack.entry.shared_deadline import SharedDeadline
 from celerytrack.entry.stopping import StopTimes, plan_stop
 from celerytrack.entry.suspects import EntrySuspects
 from celerytrack.events import Event, log_event
@@ -74,7 +74,7 @@
         self.metrics = EntryMetrics()
         self.draining = False
         self.in_flight = 0
-        self.attempts_limit = TimeLimit()
+        self.attempts_deadline = SharedDeadline()
         self.suspects = EntrySuspects(self.entry_id)
         self._idle = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
@@ -169,7 +169,7 @@
         """
         times = plan_stop(self.tuning, time.monotonic())
         self._start_draining()
-        self.attempts_limit.set_end(times.requests_until_s)
+        self.attempts_deadline.set(times.requests_until_s)
         await self._wait_idle(times.told_until_s)
         self.log_stage("requests over", times)
         await self.keeper.settle_all(times.ledger_until_s)
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -18,7 +18,7 @@
     suspect_state_of,
 )
 from celerytrack.entry.refusals import RefusedError
-from celerytrack.entry.shared_deadline import TimeIsUpError
+from celerytrack.entry.shared_deadline import DeadlineExceededError
 from celerytrack.entry.state import EntryState
 from celerytrack.events import Event, log_event
 from celerytrack.ids import ReplicaId, RequestId
@@ -137,7 +137,7 @@
     history = _AttemptHistory()
     work, request_id = admitted.work, admitted.request_id
     while True:
-        if state.attempts_limit.is_over(time.monotonic()):
+        if state.attempts_deadline.has_passed(time.monotonic()):
             return Failure(history.refusal or draining_before_send())
         standing = suspect_state_of(state, admitted, time.monotonic())
         if standing is Standing.SHUT_OUT:
@@ -159,9 +159,9 @@
         if suspected:
             state.suspects.sent(replica.replica_id)
         try:
-            async with state.attempts_limit.bounded():
+            async with state.attempts_deadline.scope():
                 result = await attempt(sent)
-        except TimeIsUpError:
+        except DeadlineExceededError:
             state.suspects.release(admitted)
             return Failure(stop_deadline_exceeded())
         except BaseException:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,7 +10,7 @@
 from nose2.tools import params
 from returns.result import Failure, Success
 
-from celerytrack.entry.shared_deadline import TimeLimit
+from celerytrack.entry.shared_deadline import SharedDeadline
 from celerytrack.entry.suspects import EntrySuspects
 from celerytrack.entry.upstream import try_replicas
 from celerytrack.fingerprint import Fingerprint
@@ -48,7 +48,7 @@
         choose=make_chooser("predicted"),
         spec=types.SimpleNamespace(zone=Zone("z")),
         retries=RetryBudget(ratio=0.0),
-        attempts_limit=TimeLimit(),
+        attempts_deadline=SharedDeadline(),
         rng=random.Random(1),
     )
 
@@ -196,5 +196,5 @@
         # A deadline in the past is set before the attempt, another one during it.
         if left_s > 0:
             await asyncio.sleep(0.01)
-        state.attempts_limit.set_end(time.monotonic() + left_s)
+        state.attempts_deadline.set(time.monotonic() + left_s)
         return await asyncio.wait_for(trying, 1.0), len(started)
