--- a/bench/partition_bench.py
+++ b/bench/partition_bench.py
@@ -59,7 +59,7 @@
 def make_escrow(
     world: World, policy: GrantPolicy
 ) -> tuple[Serve, Callable[[int], None]]:
-    """Ours: what :class:`~celerytrack.entry.grant_manager.LedgerKeeper` does,
+    """Ours: what :class:`~celerytrack.entry.grant_manager.GrantManager` does,
     with the log reached at once, or not at all when cut."""
     log: list[dict[str, Any]] = []
     folds = {e: Ledger() for e in (CUT, HOME)}
--- a/src/celerytrack/cli/entry.py
+++ b/src/celerytrack/cli/entry.py
@@ -65,7 +65,7 @@
         Event.PROCESS_STOPPED,
         entry=entry.entry_id,
         in_flight=entry.in_flight,
-        ledger_backlog=entry.keeper.writer.backlog,
+        ledger_backlog=entry.grant_manager.writer.backlog,
     )
 
 
--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -208,26 +208,26 @@
     :raises RefusedError: ``did_not_run``; its reason says whether the budget is used
         up, other entries hold it, or the ledger is unreachable.
     """
-    keeper, account = state.keeper, admitted.account.account_id
+    manager, account = state.grant_manager, admitted.account.account_id
     started_s = time.monotonic()
     synced = False
     while True:
         now_s = time.monotonic()
-        reservation = keeper.book.reserve(admitted.request_id, account, cost, now_s)
-        keeper.want(account, cost, now_s)
+        reservation = manager.escrow.reserve(admitted.request_id, account, cost, now_s)
+        manager.request_refill(account, cost, now_s)
         if reservation is not None:
             return reservation
-        available = keeper.book.available(account, now_s)
-        free = keeper.free_tokens(account)
-        elsewhere = keeper.elsewhere_tokens(account)
-        wait_s = GRANT_WAIT_S if keeper.reachable else UNREACHABLE_WAIT_S
+        available = manager.escrow.available(account, now_s)
+        free = manager.free_tokens(account)
+        elsewhere = manager.held_elsewhere_tokens(account)
+        wait_s = GRANT_WAIT_S if manager.reachable else UNREACHABLE_WAIT_S
         left_s = started_s + wait_s - now_s
-        exhausted = keeper.reachable and available + free + elsewhere < cost
+        exhausted = manager.reachable and available + free + elsewhere < cost
         if exhausted and not synced:
             # The replayed ledger may lag behind a top-up that the caller already
             # knows of, and a final refusal based on it would be wrong. Read the
             # ledger to its end once before refusing.
-            if not await keeper.sync(max(left_s, UNREACHABLE_WAIT_S)):
+            if not await manager.sync(max(left_s, UNREACHABLE_WAIT_S)):
                 detail = "the ledger does not answer"
                 raise RefusedError(
                     did_not_run(Reason.LEDGER_UNREACHABLE, _RETRY_AFTER_S, detail)
@@ -237,10 +237,10 @@
         if exhausted or left_s <= 0:
             raise RefusedError(
                 budget_refusal(
-                    available, free, elsewhere, cost, keeper.reachable, _RETRY_AFTER_S
+                    available, free, elsewhere, cost, manager.reachable, _RETRY_AFTER_S
                 )
             )
-        await keeper.wait_changed(left_s)
+        await manager.wait_for_change(left_s)
 
 
 def choose_replica(
--- a/src/celerytrack/entry/app.py
+++ b/src/celerytrack/entry/app.py
@@ -60,7 +60,7 @@
 async def status(state: EntryState, request: web.Request) -> web.StreamResponse:
     """``GET /status``: this entry's state, for operators."""
     now_s = time.monotonic()
-    held = sum(g.available(now_s) for g in state.keeper.book.grants.values())
+    held = sum(g.available(now_s) for g in state.grant_manager.escrow.grants.values())
     state.metrics.held_tokens.set(held)
     return web.json_response(
         {
@@ -69,11 +69,11 @@
             "config_version": state.config.version,
             "draining": state.draining,
             "in_flight": state.in_flight,
-            "ledger_offset": state.keeper.ledger.next_offset,
-            "ledger_reachable": state.keeper.reachable,
+            "ledger_offset": state.grant_manager.ledger.next_offset,
+            "ledger_reachable": state.grant_manager.reachable,
             "held_tokens": held,
-            "grants": len(state.keeper.book.grants),
-            "ledger_backlog": state.keeper.writer.backlog,
+            "grants": len(state.grant_manager.escrow.grants),
+            "ledger_backlog": state.grant_manager.writer.backlog,
             "leaving_replicas": sorted(
                 r for r, v in state.view.replicas.items() if v.leaving
             ),
--- a/src/celerytrack/entry/charging.py
+++ b/src/celerytrack/entry/charging.py
@@ -50,11 +50,11 @@
 async def _bill(
     state: EntryState, admitted: AdmittedRequest, reservation: Reservation, spent: int
 ) -> BillOutcome | None:
-    charges = state.keeper.book.commit(reservation, spent)
+    charges = state.grant_manager.escrow.commit(reservation, spent)
     bill = Bill(
         reservation.request_id, reservation.account, admitted.work.name, charges
     )
-    task = asyncio.create_task(state.keeper.bill(bill))
+    task = asyncio.create_task(state.grant_manager.bill(bill))
     _unconfirmed.add(task)
     task.add_done_callback(_unconfirmed.discard)
     try:
--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -104,11 +104,11 @@
         await _bill_disconnected(state, answer, reservation)
         raise ConnectionResetError from None
     except asyncio.CancelledError:
-        state.keeper.book.release(reservation)
+        state.grant_manager.escrow.release(reservation)
         raise
     match streamed:
         case Failure(refusal):
-            state.keeper.book.release(reservation)
+            state.grant_manager.escrow.release(reservation)
             return await _answer_refusal(state, answer, refusal)
     try:
         await charge(state, answer.admitted, reservation, answer.spent_tokens)
@@ -256,7 +256,7 @@
     """
     state.metrics.requests.labels(answer.admitted.work.name, "caller_left").inc()
     if not answer.relay.tokens:
-        state.keeper.book.release(reservation)
+        state.grant_manager.escrow.release(reservation)
         return
     try:
         await charge(state, answer.admitted, reservation, answer.spent_tokens)
--- a/src/celerytrack/entry/grant_manager.py
+++ b/src/celerytrack/entry/grant_manager.py
@@ -32,8 +32,8 @@
 
 _log = logging.getLogger(__name__)
 
-SNAPSHOTS = "ledger.snapshots"
-SNAPSHOT_EVERY = 500
+SNAPSHOT_STREAM = "ledger.snapshots"
+SNAPSHOT_EVERY_RECORDS = 500
 """Records between ledger snapshots; retention must keep several times as many."""
 _RESTORE_RETRY_S = 0.2
 _SETTLE_INTERVAL_S = 1.0
@@ -44,7 +44,7 @@
 """Longest a drain waits for the log to accept the settles of its grants."""
 
 
-class LedgerKeeper:
+class GrantManager:
     """Owns the replayed ledger and the escrow book.
 
     :param log: client of the platform log.
@@ -52,7 +52,7 @@
     :param boot_id: unique per process start, part of every grant id.
     :param policy: returns the grant policy in force; called on each use.
     :param tuning: how often to append and to write snapshots.
-    :param chosen: whether this entry is elected for the fleet's task of that name.
+    :param is_elected: whether this entry is elected for the fleet's task of that name.
     :param is_gone: whether the platform lists an entry as gone.
     """
 
@@ -63,11 +63,11 @@
         boot_id: str,
         policy: Callable[[], GrantPolicy],
         tuning: EntryTuning,
-        chosen: Callable[[str], bool] = lambda task: True,
+        is_elected: Callable[[str], bool] = lambda task: True,
         is_gone: Callable[[EntryId], bool] = lambda entry: False,
     ) -> None:
         self.ledger = Ledger()
-        self.book = EscrowBook(entry)
+        self.escrow = EscrowBook(entry)
         self.reachable = False
         self.writer = LedgerWriter(
             log,
@@ -81,7 +81,7 @@
         self._entry = entry
         self._boot_id = boot_id
         self._policy = policy
-        self._is_elected = chosen
+        self._is_elected = is_elected
         self._is_gone = is_gone
         self._changed = asyncio.Event()
         self._last_snapshot = 0
@@ -119,7 +119,7 @@
 
     # -- for request handlers ----------------------------------------------
 
-    def want(self, account: AccountId, tokens: int, now_s: float) -> None:
+    def request_refill(self, account: AccountId, tokens: int, now_s: float) -> None:
         """Ask for what is missing to cover a request of ``tokens``.
 
         That is a grant if the escrow runs low, and the idle tokens of other entries
@@ -128,18 +128,18 @@
         policy = self._policy()
         refill = plan_refill(
             tokens,
-            self.book.available(account, now_s),
+            self.escrow.available(account, now_s),
             self.free_tokens(account),
-            self.elsewhere_tokens(account),
-            self.book.rate_tokens_per_s(account, now_s),
+            self.held_elsewhere_tokens(account),
+            self.escrow.rate_tokens_per_s(account, now_s),
             policy,
         )
-        if refill.grant_tokens and account not in self.book.pending:
+        if refill.grant_tokens and account not in self.escrow.pending:
             self._request_grant(account, refill.grant_tokens, policy.lease_s)
         if refill.others_tokens:
             self._request_returns(account, refill.others_tokens, now_s)
 
-    async def wait_changed(self, timeout_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Wait until the replayed ledger changes, ``timeout_s`` at most."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout_s)
@@ -150,11 +150,11 @@
         """The account's free tokens in this entry's replayed ledger."""
         return self.ledger.account(account).free_tokens
 
-    def elsewhere_tokens(self, account: AccountId) -> int:
+    def held_elsewhere_tokens(self, account: AccountId) -> int:
         """Tokens of ``account`` in open grants of other entries."""
         own = sum(
             self.ledger.grants[g.grant_id].left_tokens
-            for g in self.book.held(account)
+            for g in self.escrow.held(account)
             if g.grant_id in self.ledger.grants
         )
         return self.ledger.account(account).open_tokens - own
@@ -208,7 +208,7 @@
         its lease has ended, so without open bills the wait is shorter.
         """
         now_s = time.monotonic()
-        if not self.book.has_open_bills:
+        if not self.escrow.has_open_bills:
             until_s = min(until_s, now_s + _SETTLE_WAIT_S)
         await self.writer.wait_idle(until_s - now_s)
         now_s = time.monotonic()
@@ -255,7 +255,7 @@
         # last snapshot itself would otherwise fall out of the log's retention, and a
         # new entry would find none.
         now_s = time.monotonic()
-        number = self.ledger.next_offset // SNAPSHOT_EVERY
+        number = self.ledger.next_offset // SNAPSHOT_EVERY_RECORDS
         too_old = now_s - self._snapshot_at_s >= self._snapshot_every_s
         if number <= self._last_snapshot and not too_old:
             return
@@ -267,7 +267,7 @@
     async def _write_snapshot(self) -> None:
         at_offset = self.ledger.next_offset
         record = {**self.ledger.snapshot(), "at_offset": at_offset}
-        match await self._log.append(SNAPSHOTS, [record]):
+        match await self._log.append(SNAPSHOT_STREAM, [record]):
             case Success(_):
                 log_event(_log, Event.LEDGER_SNAPSHOT_WRITTEN, at_offset=at_offset)
 
@@ -280,7 +280,7 @@
         :returns: the offset to continue reading from.
         """
         while True:
-            match await self._log.last(SNAPSHOTS):
+            match await self._log.last(SNAPSHOT_STREAM):
                 case Success((_, record)) if (
                     int(record["at_offset"]) > self.ledger.next_offset
                 ):
@@ -301,19 +301,19 @@
     # -- grants -----------------------------------------------------------
 
     def _request_grant(self, account: AccountId, size: int, lease_s: float) -> None:
-        grant_id = self.book.new_grant_id(self._boot_id)
+        grant_id = self.escrow.new_grant_id(self._boot_id)
         # The lease starts before the append, so a pause of this process at any later
         # point only makes it stop spending sooner.
         usable_until_s = time.monotonic() + lease_s
-        self.book.pending.add(account)
+        self.escrow.pending.add(account)
 
         def on_folded(_: list[BillOutcome]) -> None:
-            self.book.pending.discard(account)
+            self.escrow.pending.discard(account)
             if grant_id not in self.ledger.grants:
                 free = self.free_tokens(account)
                 log_event(_log, Event.GRANT_REFUSED, account=account, free_tokens=free)
                 return
-            self.book.add(HeldGrant(grant_id, account, size, usable_until_s))
+            self.escrow.add(HeldGrant(grant_id, account, size, usable_until_s))
             log_event(
                 _log, Event.GRANT_TAKEN, account=account, grant_id=grant_id, tokens=size
             )
@@ -345,18 +345,18 @@
         # Near the end of a budget its last tokens are idle in the grants of several
         # entries. Until those leases ended, callers would be refused although the
         # budget is not used up.
-        for grant in self.book.spare(account):
+        for grant in self.escrow.spare(account):
             if tokens <= 0:
                 return
             tokens -= grant.tokens - grant.spent_tokens
             self._settle(grant.grant_id, Event.GRANT_GIVEN_BACK)
 
     def _confirm_bill(self, charges: Charges, outcome: BillOutcome) -> None:
-        self.book.confirm(charges, outcome)
+        self.escrow.confirm(charges, outcome)
         if outcome is BillOutcome.VOID:
             for grant_id, _ in charges:
                 if grant_id not in self.ledger.grants:
-                    self.book.forget(grant_id)
+                    self.escrow.forget(grant_id)
 
     async def _settle_loop(self) -> None:
         while True:
@@ -367,7 +367,7 @@
             self._maybe_snapshot()
 
     def _settle_own(self, now_s: float, *, all_grants: bool = False) -> None:
-        for grant in self.book.settleable(now_s, all_grants=all_grants):
+        for grant in self.escrow.settleable(now_s, all_grants=all_grants):
             self._settle(grant.grant_id, Event.GRANT_SETTLED)
 
     def _reclaim_grants(self, now_s: float) -> None:
@@ -393,7 +393,7 @@
     def _settle(self, grant_id: GrantId, event: Event) -> None:
         # Drop the grant before the record is written: no request may reserve from a
         # grant whose settle record is queued.
-        self.book.forget(grant_id)
+        self.escrow.forget(grant_id)
         if grant_id in self._settling:
             return
         self._settling.add(grant_id)
--- a/src/celerytrack/entry/service_calls.py
+++ b/src/celerytrack/entry/service_calls.py
@@ -67,18 +67,18 @@
         if not admitted.work.idempotent:
             claim = await _claim(state, admitted)
         if claim.state is ClaimState.FINISHED:
-            state.keeper.book.release(reservation)
+            state.grant_manager.escrow.release(reservation)
             return _stored_answer(claim)
         answer = await _send(state, admitted, ask)
     except RefusedError as exc:
-        state.keeper.book.release(reservation)
+        state.grant_manager.escrow.release(reservation)
         if claim.claim_id and exc.refusal.verdict is Verdict.DID_NOT_RUN:
             # The call was never sent, so free its key. If the claim remained, every
             # retry at another entry would be refused with may_have_run forever.
             state.claims.abandon(admitted.cache_key, claim.claim_id)
         raise
     except asyncio.CancelledError:
-        state.keeper.book.release(reservation)
+        state.grant_manager.escrow.release(reservation)
         raise
     if claim.claim_id:
         state.claims.finish(admitted.cache_key, claim.claim_id, answer)
--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -12,7 +12,7 @@
 from celerytrack.entry.claims import Claims
 from celerytrack.entry.config_follower import ConfigFollower
 from celerytrack.entry.fleet_view import EntryInfo, FleetView
-from celerytrack.entry.grant_manager import LedgerKeeper
+from celerytrack.entry.grant_manager import GrantManager
 from celerytrack.entry.metrics import EntryMetrics
 from celerytrack.entry.peers import HEARTBEAT_S, PeerLink, PeerNews
 from celerytrack.entry.shared_deadline import SharedDeadline
@@ -57,7 +57,7 @@
             fleet.tuning.instance_poll_s,
             self.link.connect,
         )
-        self.keeper = LedgerKeeper(
+        self.grant_manager = GrantManager(
             self.log,
             self.entry_id,
             self.boot_id,
@@ -66,7 +66,9 @@
             self._is_elected,
             lambda entry: self.view.is_gone(entry, time.monotonic()),
         )
-        self.claims = Claims(self.keeper.writer, lambda: self.keeper.ledger)
+        self.claims = Claims(
+            self.grant_manager.writer, lambda: self.grant_manager.ledger
+        )
         self.answers = AnswerCache()
         self.choose = make_chooser(fleet.tuning.placement)
         self.retries = RetryBudget()
@@ -125,7 +127,7 @@
         ]
         self._tasks += self.link.start()
         await self._wait_for_peers()
-        self._tasks += await self.keeper.start()
+        self._tasks += await self.grant_manager.start()
         await asyncio.wait_for(self.config.wait_for_config(), 30.0)
         log_event(
             _log,
@@ -157,7 +159,7 @@
         """
         self._start_draining()
         await self._wait_idle(time.monotonic() + self.tuning.drain_grace_s)
-        await self.keeper.settle_all(time.monotonic() + _DRAIN_LEDGER_S)
+        await self.grant_manager.settle_all(time.monotonic() + _DRAIN_LEDGER_S)
 
     async def stop(self) -> StopTimes:
         """Drain within the time that is left before the supervisor kills the process.
@@ -170,9 +172,9 @@
         times = plan_stop(self.tuning, time.monotonic())
         self._start_draining()
         self.attempts_deadline.set(times.requests_until_s)
-        await self._wait_idle(times.told_until_s)
+        await self._wait_idle(times.answers_until_s)
         self.log_stage("requests over", times)
-        await self.keeper.settle_all(times.ledger_until_s)
+        await self.grant_manager.settle_all(times.ledger_until_s)
         self.log_stage("ledger written", times)
         return times
 
@@ -197,7 +199,7 @@
             stage=stage,
             after_ms=round((time.monotonic() - times.began_s) * 1_000),
             in_flight=self.in_flight,
-            ledger_backlog=self.keeper.writer.backlog,
+            ledger_backlog=self.grant_manager.writer.backlog,
         )
 
     def _start_draining(self) -> None:
--- a/src/celerytrack/entry/stopping.py
+++ b/src/celerytrack/entry/stopping.py
@@ -19,7 +19,7 @@
 """Time to close the connections to the platform and the back ends."""
 LISTENER_S = 1.0
 """Time to close the listener while answers are still being sent."""
-LAST_WORDS_S = 0.5
+FINAL_ANSWERS_S = 0.5
 """Time to answer the callers of requests that are cut off."""
 
 
@@ -29,7 +29,7 @@
 
     :ivar began_s: when the stop signal came.
     :ivar requests_until_s: requests in progress are cut off.
-    :ivar told_until_s: their callers have been answered.
+    :ivar answers_until_s: their callers have been answered.
     :ivar ledger_until_s: records that the log has not accepted are dropped.
     :ivar listener_until_s: the listener is closed.
     :ivar connections_until_s: the connections are closed.
@@ -37,7 +37,7 @@
 
     began_s: float
     requests_until_s: float
-    told_until_s: float
+    answers_until_s: float
     ledger_until_s: float
     listener_until_s: float
     connections_until_s: float
@@ -51,7 +51,7 @@
     return StopTimes(
         began_s=now_s,
         requests_until_s=requests_until_s,
-        told_until_s=requests_until_s + LAST_WORDS_S,
+        answers_until_s=requests_until_s + FINAL_ANSWERS_S,
         ledger_until_s=listener_until_s - LISTENER_S,
         listener_until_s=listener_until_s,
         connections_until_s=connections_until_s,
