--- a/src/celerytrack/cli/ctl.py
+++ b/src/celerytrack/cli/ctl.py
@@ -20,8 +20,8 @@
 
 from celerytrack.cli.log_commands import ExplainCommand, SloCommand, SummaryCommand
 from celerytrack.cli.suspect_commands import LiftCommand, SuspectsCommand
-from celerytrack.entry.config_follower import CONFIG, config_record
-from celerytrack.entry.ledger_writer import LEDGER
+from celerytrack.entry.config_follower import CONFIG_STREAM, config_record
+from celerytrack.entry.ledger_writer import LEDGER_STREAM
 from celerytrack.logclient import LogClient, LogErrorKind
 from celerytrack.settings import Config, FleetSettings, SettingsError, load_json
 
@@ -74,7 +74,7 @@
     :returns: ``(version, "")`` on success, ``(-1, why)`` otherwise.
     """
     for _ in range(_ATTEMPTS):
-        match await log.last(CONFIG):
+        match await log.last(CONFIG_STREAM):
             case Success(last):
                 last_offset, in_force = _in_force(last)
             case Failure(_):
@@ -87,7 +87,7 @@
             )
         base = base_version = in_force
         record = config_record(config, base, time.time())
-        match await log.append(CONFIG, [record], last_offset + 1):
+        match await log.append(CONFIG_STREAM, [record], last_offset + 1):
             case Success(appended):
                 return appended.first_offset, ""
             case Failure(error) if error.kind is LogErrorKind.CONFLICT:
@@ -97,7 +97,7 @@
                 continue
             case Failure(error) if error.kind is LogErrorKind.UNKNOWN_OUTCOME:
                 # The reply was lost: look whether our record is the last one.
-                match await log.last(CONFIG):
+                match await log.last(CONFIG_STREAM):
                     case Success((offset, found)) if found == record:
                         return offset, ""
         await asyncio.sleep(_RETRY_S)
@@ -150,7 +150,7 @@
         "topup_id": topup_id,
     }
     for _ in range(_ATTEMPTS):
-        match await log.append(LEDGER, [record]):
+        match await log.append(LEDGER_STREAM, [record]):
             case Success(_):
                 return True
         await asyncio.sleep(_RETRY_S)
--- a/src/celerytrack/entry/config_follower.py
+++ b/src/celerytrack/entry/config_follower.py
@@ -20,7 +20,7 @@
 
 _log = logging.getLogger(__name__)
 
-CONFIG = "config"
+CONFIG_STREAM = "config"
 _RETRY_S = 0.2
 
 
@@ -55,7 +55,7 @@
 
     async def load_last(self) -> bool:
         """Apply the last record; ``False`` if the log is unreachable."""
-        match await self._log.last(CONFIG):
+        match await self._log.last(CONFIG_STREAM):
             case Success(None):
                 return True
             case Success((offset, record)):
@@ -76,7 +76,7 @@
         while not await self.load_last():
             await asyncio.sleep(_RETRY_S)
         while True:
-            result = await self._log.read(CONFIG, self._next_offset, wait_s=1.0)
+            result = await self._log.read(CONFIG_STREAM, self._next_offset, wait_s=1.0)
             match result:
                 case Success(batch):
                     for offset, record in batch.records:
@@ -125,7 +125,7 @@
         if now_s - float(record.get("published_at_s", now_s)) < self._republish_after_s:
             return
         fresh = {**record, "version_of": self.version, "published_at_s": now_s}
-        match await self._log.append(CONFIG, [fresh], self._next_offset):
+        match await self._log.append(CONFIG_STREAM, [fresh], self._next_offset):
             case Success(_):
                 self._record = fresh
                 log_event(_log, Event.CONFIG_SNAPSHOT_WRITTEN, version=self.version)
--- a/src/celerytrack/entry/grant_manager.py
+++ b/src/celerytrack/entry/grant_manager.py
@@ -16,7 +16,7 @@
 from returns.result import Success
 
 from celerytrack.entry._tail import catch_up, follow
-from celerytrack.entry.ledger_writer import LEDGER, LedgerWriter, Record
+from celerytrack.entry.ledger_writer import LEDGER_STREAM, LedgerWriter, Record
 from celerytrack.escrow import (
     Charges,
     EscrowBook,
@@ -97,7 +97,9 @@
     async def start(self) -> list[asyncio.Task[None]]:
         """Load the latest snapshot, catch up and start the background tasks."""
         start = await self._restore(0)
-        offset = await catch_up(self._log, LEDGER, start, self._apply, self._restore)
+        offset = await catch_up(
+            self._log, LEDGER_STREAM, start, self._apply, self._restore
+        )
         self.reachable = offset is not None
         self._ended_boots = frozenset(
             g.boot_id for g in self.ledger.grants.values() if g.entry == self._entry
@@ -106,7 +108,7 @@
             asyncio.create_task(
                 follow(
                     self._log,
-                    LEDGER,
+                    LEDGER_STREAM,
                     self.ledger.next_offset,
                     self._apply,
                     restore=self._restore,
@@ -182,14 +184,18 @@
             # Later callers need a read that begins after their call.
             self._next_sync = None
             offset = await catch_up(
-                self._log, LEDGER, self.ledger.next_offset, self._apply, self._restore
+                self._log,
+                LEDGER_STREAM,
+                self.ledger.next_offset,
+                self._apply,
+                self._restore,
             )
             self._set_reachable(offset is not None)
             self._synced_at_s = time.monotonic()
 
     async def bill(self, bill: Bill) -> BillOutcome:
         """Append ``bill`` and apply the ledger's outcome to the escrow book."""
-        outcome = await self.writer.bill(bill)
+        outcome = await self.writer.submit_bill(bill)
         self._confirm_bill(bill.charges, outcome)
         if outcome is not BillOutcome.CHARGED:
             log_event(
@@ -230,7 +236,7 @@
             case "want" if record["entry"] != self._entry:
                 self._return_grants(AccountId(record["account"]), int(record["tokens"]))
         if record.get("writer") == self.writer.writer_id:
-            self.writer.folded(int(record["seq"]), outcomes)
+            self.writer.mark_folded(int(record["seq"]), outcomes)
         self._notify()
         self._maybe_snapshot()
 
@@ -296,7 +302,7 @@
         self.ledger = fresh
         now_s = time.monotonic()
         self._first_seen_s = {g: self._first_seen_s.get(g, now_s) for g in fresh.grants}
-        self.writer.skipped_to(fresh.writers.get(self.writer.writer_id, -1))
+        self.writer.mark_covered_through(fresh.writers.get(self.writer.writer_id, -1))
 
     # -- grants -----------------------------------------------------------
 
--- a/src/celerytrack/entry/ledger_writer.py
+++ b/src/celerytrack/entry/ledger_writer.py
@@ -24,7 +24,7 @@
 
 _log = logging.getLogger(__name__)
 
-LEDGER = "ledger"
+LEDGER_STREAM = "ledger"
 _MAX_BILLS = 5000
 _BACKOFF_S = (0.05, 0.1, 0.2, 0.4, 0.8)
 
@@ -75,14 +75,14 @@
         self._queue.append((record, on_folded))
         self._wake_up()
 
-    def bill(self, bill: Bill) -> "asyncio.Future[BillOutcome]":
+    def submit_bill(self, bill: Bill) -> "asyncio.Future[BillOutcome]":
         """Queue ``bill``; the future gets its outcome in the ledger."""
         future: asyncio.Future[BillOutcome] = asyncio.get_running_loop().create_future()
         self._bills.append((bill, future))
         self._wake_up()
         return future
 
-    def folded(self, seq: int, outcomes: list[BillOutcome]) -> None:
+    def mark_folded(self, seq: int, outcomes: list[BillOutcome]) -> None:
         """Record that the entry's replay has reached record number ``seq``."""
         self._folded_seq = max(self._folded_seq, seq)
         on_folded = self._unfolded.pop(seq, None)
@@ -91,14 +91,14 @@
         if not self.backlog:
             self._idle.set()
 
-    def skipped_to(self, seq: int) -> None:
+    def mark_covered_through(self, seq: int) -> None:
         """Record that a snapshot covers every record up to number ``seq``.
 
         The outcomes of their bills are lost: each was charged, or was void and stays
         uncharged. All count as charged, so at worst too few tokens can be spent.
         """
         for number in [n for n in self._unfolded if n <= seq]:
-            self.folded(number, [])
+            self.mark_folded(number, [])
 
     async def wait_idle(self, timeout_s: float) -> bool:
         """Wait until all queued records are appended and replayed."""
@@ -143,7 +143,7 @@
         """Append ``batch``; retry until the log confirms it or the replay shows it."""
         attempts = 0
         while batch and self._folded_seq < batch[-1]["seq"]:
-            match await self._log.append(LEDGER, batch):
+            match await self._log.append(LEDGER_STREAM, batch):
                 case Success(appended):
                     self._on_contact(True)
                     self._on_appended(appended, batch)
--- a/src/celerytrack/load/checker.py
+++ b/src/celerytrack/load/checker.py
@@ -10,7 +10,7 @@
 import attrs
 from returns.result import Success
 
-from celerytrack.entry.ledger_writer import LEDGER
+from celerytrack.entry.ledger_writer import LEDGER_STREAM
 from celerytrack.ledger import Bill, BillOutcome, Ledger
 from celerytrack.logclient import LogClient
 from celerytrack.settings import FleetSettings
@@ -74,7 +74,7 @@
     """
     log = LogClient(fleet.platform.log_address, "checker")
     try:
-        records = await _read_all(log, LEDGER)
+        records = await _read_all(log, LEDGER_STREAM)
     finally:
         await log.close()
     ledger = Ledger()
