--- a/bench/control_sweep.py
+++ b/bench/control_sweep.py
@@ -20,7 +20,7 @@
 import numpy
 from tests.fleet import Fleet
 
-from celerytrack.entry.peers import HEARTBEAT_S, PeerNews
+from celerytrack.entry.peers import HEARTBEAT_S, Heartbeat
 from celerytrack.ids import EntryId
 
 ENTRIES = (1, 4, 8, 16, 30)
@@ -116,7 +116,7 @@
         finally:
             fleet.stop()
     n = len(pids)
-    news = PeerNews(EntryId("entry-10"), "b" * 8, 10**6, False, {}).to_bytes()
+    news = Heartbeat(EntryId("entry-10"), "b" * 8, 10**6, False, {}).to_bytes()
     heartbeats = len(news) * 2 * (entries - 1) / HEARTBEAT_S
     spent = {
         k: sum(a[k] - b[k] for a, b in zip(after, before, strict=True)) / n / seconds
--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -189,7 +189,7 @@
                 Reason.DUPLICATE_IN_FLIGHT, 1.0, "same idempotency key in progress"
             )
         )
-    state.enter()
+    state.begin_request()
     if has_key:
         state.answers.in_progress.add(admitted.cache_key)
     try:
@@ -197,7 +197,7 @@
     finally:
         if has_key:
             state.answers.in_progress.discard(admitted.cache_key)
-        state.leave()
+        state.end_request()
 
 
 async def reserve(
--- a/src/celerytrack/entry/fleet_view.py
+++ b/src/celerytrack/entry/fleet_view.py
@@ -15,7 +15,7 @@
 import aiohttp
 import attrs
 
-from celerytrack.entry.peers import PeerNews
+from celerytrack.entry.peers import Heartbeat
 from celerytrack.events import Event, log_event
 from celerytrack.ids import EntryId, ReplicaId, Zone
 from celerytrack.replica_load import Load, ReplicaLoad
@@ -23,7 +23,7 @@
 _log = logging.getLogger(__name__)
 
 
-HEARD_WITHIN_S = 1.0
+HEARTBEAT_TIMEOUT_S = 1.0
 """Age of the last heartbeat after which an entry no longer counts as running."""
 
 
@@ -37,16 +37,16 @@
     leaving: bool = False
     gone: bool = False
     draining: bool = False
-    heard_at_s: float = float("-inf")
+    last_heartbeat_s: float = float("-inf")
     """When its last heartbeat arrived (monotonic seconds)."""
 
-    def runs(self, now_s: float) -> bool:
+    def is_alive(self, now_s: float) -> bool:
         """Whether its last heartbeat is recent."""
-        return now_s - self.heard_at_s <= HEARD_WITHIN_S
+        return now_s - self.last_heartbeat_s <= HEARTBEAT_TIMEOUT_S
 
-    def usable(self, now_s: float) -> bool:
+    def is_usable(self, now_s: float) -> bool:
         """Whether callers may be given this entry's address at ``now_s``."""
-        return self.runs(now_s) and not self.leaving and not self.draining
+        return self.is_alive(now_s) and not self.leaving and not self.draining
 
 
 class FleetView:
@@ -81,7 +81,7 @@
         info = self.entries.get(entry_id)
         if info is None:
             return self._listed
-        return info.gone and not info.runs(now_s)
+        return info.gone and not info.is_alive(now_s)
 
     async def refresh(self) -> None:
         """Read the instance list and the replicas' loads once."""
@@ -109,20 +109,22 @@
         if self._session is not None:
             await self._session.close()
 
-    def heard(self, news: PeerNews, now_s: float) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat, now_s: float) -> None:
         """Apply a peer's heartbeat.
 
         The instance list lags and shows a crashed entry as live for a while; callers
         given its address would reach nothing. Heartbeats show which entries run now,
         and a draining entry reports it at once.
         """
-        info = self.entries.get(news.entry)
+        info = self.entries.get(heartbeat.entry)
         if info is not None:
-            info.heard_at_s = now_s
-            info.draining = news.draining
+            info.last_heartbeat_s = now_s
+            info.draining = heartbeat.draining
         wall_s = time.time()
         for replica_id, replica in self.replicas.items():
-            replica.heard(news.entry, news.loads.get(replica_id, Load()), wall_s)
+            replica.heard(
+                heartbeat.entry, heartbeat.loads.get(replica_id, Load()), wall_s
+            )
 
     def _mark_leaving(self, replica: ReplicaLoad) -> None:
         if not replica.leaving:
--- a/src/celerytrack/entry/peers.py
+++ b/src/celerytrack/entry/peers.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class PeerNews:
+class Heartbeat:
     """One heartbeat.
 
     :ivar seq: increases within one start of the entry's process (``boot_id``).
@@ -55,7 +55,7 @@
         )
 
     @classmethod
-    def from_bytes(cls, data: bytes) -> "PeerNews":
+    def from_bytes(cls, data: bytes) -> "Heartbeat":
         """Parse the output of :meth:`to_bytes`.
 
         :raises ValueError: if ``data`` is not a heartbeat.
@@ -74,19 +74,19 @@
     """Owns the sockets between this entry and its peers.
 
     :param address: ``host:port`` this entry publishes on.
-    :param describe: makes the next heartbeat, given its sequence number.
-    :param on_news: called with each heartbeat of a peer.
+    :param make_heartbeat: makes the next heartbeat, given its sequence number.
+    :param on_heartbeat: called with each heartbeat of a peer.
     """
 
     def __init__(
         self,
         address: str,
-        describe: Callable[[int], PeerNews],
-        on_news: Callable[[PeerNews], None],
+        make_heartbeat: Callable[[int], Heartbeat],
+        on_heartbeat: Callable[[Heartbeat], None],
     ) -> None:
         self._address = address
-        self._describe = describe
-        self._on_news = on_news
+        self._make_heartbeat = make_heartbeat
+        self._on_heartbeat = on_heartbeat
         self._context = zmq.asyncio.Context()
         self._pub = self._socket(zmq.PUB)
         self._sub = self._socket(zmq.SUB)
@@ -120,20 +120,20 @@
 
     async def _publish(self) -> None:
         for seq in itertools.count():
-            await self._pub.send(self._describe(seq).to_bytes())
+            await self._pub.send(self._make_heartbeat(seq).to_bytes())
             await asyncio.sleep(HEARTBEAT_S)
 
     async def _listen(self) -> None:
         while True:
             data = await self._sub.recv()
             try:
-                news = PeerNews.from_bytes(data)
+                heartbeat = Heartbeat.from_bytes(data)
             except ValueError as exc:
                 log_event(_log, Event.PEER_NEWS_BAD, logging.WARNING, error=str(exc))
                 continue
             # After a reconnect, queued heartbeats of the same process may arrive
             # after a newer one. They must not restore an old state.
-            sender = f"{news.entry}/{news.boot_id}"
-            if news.seq > self._last_seq.get(sender, -1):
-                self._last_seq[sender] = news.seq
-                self._on_news(news)
+            sender = f"{heartbeat.entry}/{heartbeat.boot_id}"
+            if heartbeat.seq > self._last_seq.get(sender, -1):
+                self._last_seq[sender] = heartbeat.seq
+                self._on_heartbeat(heartbeat)
--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -14,7 +14,7 @@
 from celerytrack.entry.fleet_view import EntryInfo, FleetView
 from celerytrack.entry.grant_manager import GrantManager
 from celerytrack.entry.metrics import EntryMetrics
-from celerytrack.entry.peers import HEARTBEAT_S, PeerLink, PeerNews
+from celerytrack.entry.peers import HEARTBEAT_S, Heartbeat, PeerLink
 from celerytrack.entry.shared_deadline import SharedDeadline
 from celerytrack.entry.stopping import StopTimes, plan_stop
 from celerytrack.entry.suspects import EntrySuspects
@@ -29,7 +29,7 @@
 
 _log = logging.getLogger(__name__)
 
-HEARD_AT_START_S = 0.5
+STARTUP_HEARTBEAT_WAIT_S = 0.5
 """Longest wait at startup for the peers' heartbeats; each sends several meanwhile."""
 _DRAIN_LEDGER_S = 10.0
 """Longest a drain waits for the log to accept the last bills and settles."""
@@ -90,7 +90,7 @@
 
     def usable_entries(self, now_s: float) -> dict[EntryId, EntryInfo]:
         """The entries whose addresses callers may be given, this one included."""
-        live = {e: i for e, i in self.view.entries.items() if i.usable(now_s)}
+        live = {e: i for e, i in self.view.entries.items() if i.is_usable(now_s)}
         if self.draining:
             live.pop(self.entry_id, None)
         else:
@@ -98,12 +98,12 @@
             live[self.entry_id] = self.view.entries.get(self.entry_id) or info
         return live
 
-    def enter(self) -> None:
+    def begin_request(self) -> None:
         """Count a request in flight."""
         self.in_flight += 1
         self.metrics.in_flight.set(self.in_flight)
 
-    def leave(self) -> None:
+    def end_request(self) -> None:
         """Count a request that ended."""
         self.in_flight -= 1
         self.metrics.in_flight.set(self.in_flight)
@@ -144,10 +144,10 @@
         This entry must know the requests that its peers know to crash replicas
         before it serves.
         """
-        until_s = time.monotonic() + HEARD_AT_START_S
+        until_s = time.monotonic() + STARTUP_HEARTBEAT_WAIT_S
         while (now_s := time.monotonic()) < until_s:
             peers = (i for e, i in self.view.entries.items() if e != self.entry_id)
-            if all(info.runs(now_s) for info in peers):
+            if all(info.is_alive(now_s) for info in peers):
                 return
             await asyncio.sleep(HEARTBEAT_S / 2)
 
@@ -220,24 +220,24 @@
         except TimeoutError:
             return
 
-    def _make_heartbeat(self, seq: int) -> PeerNews:
+    def _make_heartbeat(self, seq: int) -> Heartbeat:
         loads = {
             r: replica.own
             for r, replica in self.view.replicas.items()
             if replica.own != Load()
         }
         findings = self.suspects.findings(time.monotonic())
-        return PeerNews(
+        return Heartbeat(
             self.entry_id, self.boot_id, seq, self.draining, loads, findings
         )
 
-    def _apply_heartbeat(self, news: PeerNews) -> None:
-        if news.entry == self.entry_id:
+    def _apply_heartbeat(self, heartbeat: Heartbeat) -> None:
+        if heartbeat.entry == self.entry_id:
             return
         now_s = time.monotonic()
-        self.view.heard(news, now_s)
+        self.view.record_heartbeat(heartbeat, now_s)
         # A heartbeat without findings also means that its entry runs no trial.
-        self.suspects.hear(news.findings or Findings(news.entry), now_s)
+        self.suspects.hear(heartbeat.findings or Findings(heartbeat.entry), now_s)
 
     def _grant_policy(self) -> GrantPolicy:
         return self.config.config.grant if self.config.config else GrantPolicy()
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from celerytrack.entry.peers import PeerNews
+from celerytrack.entry.peers import Heartbeat
 from celerytrack.entry.state import EntryState
 from celerytrack.entry.suspects import EntrySuspects
 from celerytrack.findings import Findings, Trial
@@ -78,7 +78,7 @@
         state = EntryState(load_json(FLEET_JSON, FleetSettings), "entry-1")
         peer = EntryId("entry-2")
         trial = Trial(KNOWN, EndpointId("r"), 60.0)
-        heartbeat = PeerNews(peer, "b", 1, False, {}, Findings(peer, trials=(trial,)))
+        heartbeat = Heartbeat(peer, "b", 1, False, {}, Findings(peer, trials=(trial,)))
         state._apply_heartbeat(heartbeat)
         now_s = time.monotonic()
         self.assertEqual(state.suspects.book.endpoints_on_trial(now_s), {"r"})
