--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -161,7 +161,7 @@
     """Whether the request is suspected of crashing replicas, and how strongly."""
     if not state.suspects.book:
         return Standing.CLEAR
-    return state.suspects.standing(admitted.fingerprint, admitted.work, now_s)
+    return state.suspects.state_of(admitted.fingerprint, admitted.work, now_s)
 
 
 def refuse_quarantined(
@@ -172,7 +172,9 @@
     :raises RefusedError: if replicas crashed repeatedly while they ran the request.
     """
     if suspect_state_of(state, admitted, now_s) is Standing.SHUT_OUT:
-        raise RefusedError(state.suspects.held_back(admitted.fingerprint, now_s))
+        raise RefusedError(
+            state.suspects.quarantine_refusal(admitted.fingerprint, now_s)
+        )
 
 
 @contextlib.contextmanager
--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -226,7 +226,7 @@
             for r, replica in self.view.replicas.items()
             if replica.own != Load()
         }
-        findings = self.suspects.findings(time.monotonic())
+        findings = self.suspects.heartbeat_findings(time.monotonic())
         return Heartbeat(
             self.entry_id, self.boot_id, seq, self.draining, loads, findings
         )
@@ -237,7 +237,7 @@
         now_s = time.monotonic()
         self.view.record_heartbeat(heartbeat, now_s)
         # A heartbeat without findings also means that its entry runs no trial.
-        self.suspects.hear(heartbeat.findings or Findings(heartbeat.entry), now_s)
+        self.suspects.merge(heartbeat.findings or Findings(heartbeat.entry), now_s)
 
     def _grant_policy(self) -> GrantPolicy:
         return self.config.config.grant if self.config.config else GrantPolicy()
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -25,13 +25,13 @@
 
 _log = logging.getLogger(__name__)
 
-TOLD_S = 0.15
+CLAIM_PROPAGATION_S = 0.15
 """Time until all peers know a claim: one heartbeat interval and its transmission."""
-TRIAL_USUALLY_S = 1.0
+TYPICAL_PROBE_S = 1.0
 """Retry-After while a trial of the request runs; most trials have ended by then."""
-NOT_BY_ITSELF_S = 3_600.0
+OPERATOR_LIFT_RETRY_AFTER_S = 3_600.0
 """Retry-After if only a new software release can help."""
-ONE_ENDING_S = 1
+SAME_CRASH_WINDOW_S = 1
 """Crashes of one replica within the same second count as one. A replica that restarts
 keeps its id, so the time tells its crashes apart."""
 
@@ -59,32 +59,34 @@
         self._suspects_at: Counter[ReplicaId] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def findings(self, now_s: float) -> Findings | None:
+    def heartbeat_findings(self, now_s: float) -> Findings | None:
         """The findings for the next heartbeat."""
         if not self.book:
             return None
         findings = self.book.record(now_s, time.time())
         return None if findings.empty else findings
 
-    def hear(self, findings: Findings, now_s: float) -> None:
+    def merge(self, findings: Findings, now_s: float) -> None:
         """Merge the findings of a peer's heartbeat."""
         self.book.heard(findings, True, now_s)
 
-    def standing(
+    def state_of(
         self, fingerprint: Fingerprint, work: WorkClass, now_s: float
     ) -> Standing:
         """How strongly a request is suspected of crashing replicas."""
         return self.book.standing(fingerprint, {work.model}, now_s)
 
-    def held_back(self, fingerprint: Fingerprint, now_s: float) -> Refusal:
+    def quarantine_refusal(self, fingerprint: Fingerprint, now_s: float) -> Refusal:
         """The refusal of a request that is quarantined or on trial at another entry."""
         back_in_s = self.book.back_in_s(fingerprint, now_s)
-        after_s = NOT_BY_ITSELF_S if back_in_s is None else back_in_s
+        after_s = OPERATOR_LIFT_RETRY_AFTER_S if back_in_s is None else back_in_s
         detail = f"replicas ended under request {fingerprint.hex()}"
-        after_s = max(after_s, TRIAL_USUALLY_S)
+        after_s = max(after_s, TYPICAL_PROBE_S)
         return did_not_run(Reason.QUARANTINED, after_s, detail)
 
-    def apart(self, standing: Standing, now_s: float) -> frozenset[ReplicaId]:
+    def replicas_to_avoid(
+        self, standing: Standing, now_s: float
+    ) -> frozenset[ReplicaId]:
         """The replicas that a request should not be sent to.
 
         These are the replicas of trials and, for a suspect request, also those that
@@ -97,7 +99,7 @@
             names.update(self._suspects_at.elements())
         return frozenset(names)
 
-    async def claim(
+    async def begin_probe(
         self, fingerprint: Fingerprint, replica: ReplicaId, lasts_s: float
     ) -> bool:
         """Claim the trial of a request; whether this entry won the claim."""
@@ -105,28 +107,28 @@
         if self.book.claim(trial, time.monotonic()) is None:
             return False
         try:
-            await asyncio.sleep(TOLD_S)
+            await asyncio.sleep(CLAIM_PROPAGATION_S)
         except asyncio.CancelledError:
             # The caller disconnected during the wait.
             self.book.release(fingerprint)
             raise
         return self.book.holds(fingerprint)
 
-    def sent(self, replica: ReplicaId) -> None:
+    def suspect_sent(self, replica: ReplicaId) -> None:
         """Count a suspect request sent to ``replica``."""
         self._suspects_at[replica] += 1
 
-    def over(self, replica: ReplicaId) -> None:
+    def suspect_done(self, replica: ReplicaId) -> None:
         """Count a suspect request at ``replica`` that has ended."""
         self._suspects_at[replica] -= 1
 
-    def release(self, request: Fingerprinted) -> None:
+    def cancel_probe(self, request: Fingerprinted) -> None:
         """Release the trial of the request, if this entry holds one, without a
         result."""
         if self.book:
             self.book.release(request.fingerprint)
 
-    def ended_well(self, request: Fingerprinted, now_s: float) -> None:
+    def record_success(self, request: Fingerprinted, now_s: float) -> None:
         """Clear the request: a replica answered it completely."""
         if not self.book:
             return
@@ -141,7 +143,7 @@
                 endings=[evidence.ending.endpoint_id for evidence in cleared.forgiven],
             )
 
-    def broke(
+    def check_for_crash(
         self, fingerprint: Fingerprint, replica: ReplicaId, address: str, model: str
     ) -> None:
         """Check whether the replica crashed while it ran the request."""
@@ -152,7 +154,7 @@
     async def _check(
         self, fingerprint: Fingerprint, replica: ReplicaId, address: str, model: str
     ) -> None:
-        at_s = int(time.time()) // ONE_ENDING_S
+        at_s = int(time.time()) // SAME_CRASH_WINDOW_S
         try:
             async with asyncio.timeout(ENDING_KNOWN_S):
                 ended = await has_ended(address)
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -148,7 +148,7 @@
             if history.refusal is not None:
                 _log_not_retried(request_id, NoRetryReason.NO_REPLICA, exc.refusal)
             return Failure(history.refusal or exc.refusal)
-        if standing is Standing.ALONE and not await state.suspects.claim(
+        if standing is Standing.ALONE and not await state.suspects.begin_probe(
             admitted.fingerprint, replica.replica_id, MAX_PROBE_S
         ):
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
@@ -157,21 +157,21 @@
         sent = replica.send(ask, first_token_s, now_s)
         suspected = standing is not Standing.CLEAR
         if suspected:
-            state.suspects.sent(replica.replica_id)
+            state.suspects.suspect_sent(replica.replica_id)
         try:
             async with state.attempts_deadline.scope():
                 result = await attempt(sent)
         except DeadlineExceededError:
-            state.suspects.release(admitted)
+            state.suspects.cancel_probe(admitted)
             return Failure(stop_deadline_exceeded())
         except BaseException:
             # The caller disconnected or the process stops: the trial has no result.
-            state.suspects.release(admitted)
+            state.suspects.cancel_probe(admitted)
             raise
         finally:
             sent.ended(time.time())
             if suspected:
-                state.suspects.over(replica.replica_id)
+                state.suspects.suspect_done(replica.replica_id)
         _record_outcome(state, admitted, replica.replica_id, result)
         match result:
             case Success(_):
@@ -202,7 +202,7 @@
 
     :raises RefusedError: if no replica has room.
     """
-    isolated = state.suspects.apart(standing, time.monotonic())
+    isolated = state.suspects.replicas_to_avoid(standing, time.monotonic())
     if isolated:
         try:
             return choose_replica(
@@ -214,7 +214,7 @@
 
 
 def _quarantine_refusal(state: EntryState, admitted: AdmittedRequest) -> Refusal:
-    return state.suspects.held_back(admitted.fingerprint, time.monotonic())
+    return state.suspects.quarantine_refusal(admitted.fingerprint, time.monotonic())
 
 
 def _record_outcome(
@@ -227,13 +227,13 @@
     suspects = state.suspects
     match result:
         case Success(_):
-            suspects.ended_well(admitted, time.monotonic())
+            suspects.record_success(admitted, time.monotonic())
         case Failure(refusal) if refusal.verdict is Verdict.MAY_HAVE_RUN:
             address = state.view.addresses[replica]
             model = admitted.work.model
-            suspects.broke(admitted.fingerprint, replica, address, model)
+            suspects.check_for_crash(admitted.fingerprint, replica, address, model)
         case Failure(_):
-            suspects.release(admitted)
+            suspects.cancel_probe(admitted)
 
 
 def _reason_not_to_retry(
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -64,7 +64,7 @@
         """Guards against a claim that stays for a minute, in which no entry can try the
         request, after the caller disconnected while the claim was being propagated."""
         suspects = EntrySuspects(EntryId("e1"))
-        claim = asyncio.create_task(suspects.claim(KNOWN, ReplicaId("r"), 60.0))
+        claim = asyncio.create_task(suspects.begin_probe(KNOWN, ReplicaId("r"), 60.0))
         await asyncio.sleep(0)
         self.assertTrue(suspects.book.holds(KNOWN))
         claim.cancel()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -27,7 +27,7 @@
 def _suspects() -> EntrySuspects:
     """Suspects whose check for a crashed replica is disabled."""
     suspects = EntrySuspects(EntryId("e"))
-    suspects.broke = lambda *args: None
+    suspects.check_for_crash = lambda *args: None
     return suspects
 
 
