--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -23,7 +23,7 @@
 STREAM_CLASS = "story"
 CALL_CLASS = "lookup"
 BUDGET_TOKENS = 5_000_000
-MOST_OUTPUT_TOKENS = 400_000
+MAX_OUTPUT_TOKENS = 400_000
 HEADERS = {"Authorization": f"Bearer {KEY}"}
 
 
@@ -68,7 +68,7 @@
         "kind": "engine",
         "model": "m",
         "ttft_target_s": 1.0,
-        "max_output_tokens": MOST_OUTPUT_TOKENS,
+        "max_output_tokens": MAX_OUTPUT_TOKENS,
     }
     lookup = {
         "name": CALL_CLASS,
--- a/tests/test_entry_stop.py
+++ b/tests/test_entry_stop.py
@@ -21,7 +21,7 @@
     ENGINE,
     ENTRY,
     HEADERS,
-    MOST_OUTPUT_TOKENS,
+    MAX_OUTPUT_TOKENS,
     SERVICE,
     STREAM_CLASS,
     Outcome,
@@ -69,7 +69,7 @@
     """Request a long stream and do not read the answer."""
     host, port = fleet.fleet.entry(ENTRY).address.split(":")
     _, writer = await asyncio.open_connection(host, int(port), limit=1)
-    ask = {"model": STREAM_CLASS, "max_tokens": MOST_OUTPUT_TOKENS, "messages": []}
+    ask = {"model": STREAM_CLASS, "max_tokens": MAX_OUTPUT_TOKENS, "messages": []}
     body = json.dumps(ask)
     fields = {**HEADERS, "Host": host, "Content-Length": str(len(body))}
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
