--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,7 @@
 """A local fleet on loopback for tests, benches and the demo.
 
-This harness is not part of the system: it is what an operator's process
-supervisor does, starting each process of a deployment from its settings.
+This harness is not part of the system. It starts each process of a deployment from
+its settings, as an operator's process supervisor does.
 """
 
 import asyncio
@@ -41,10 +41,10 @@
 
     :param example: ``haddad`` or ``padma`` (a folder under ``examples/``),
         or a path to a folder with ``fleet.json`` and ``config.json``.
-    :param entries: how many of the settings' entries to start.
+    :param entries: how many of the settings' entries to start; all by default.
     :param engine_args: more options for every engine stand-in.
-    :param tuning: entry timings to use instead of the settings' own.
-    :param grant: the same for the configuration's grant policy.
+    :param tuning: fields of the entries' tuning that replace those of the settings.
+    :param grant: fields that replace those of the configuration's grant policy.
     """
 
     def __init__(
@@ -75,7 +75,8 @@
         section: str,
         changes: dict[str, Any] | None,
     ) -> pathlib.Path:
-        # Two test runs on one machine would drive each other's processes.
+        # Each test run has its own loopback address, or two runs on one machine would
+        # control each other's processes.
         text = (folder / name).read_text().replace("127.0.0.1:", f"{loopback_ip(1)}:")
         document = json.loads(text)
         document[section] = {**document.get(section, {}), **(changes or {})}
@@ -84,7 +85,7 @@
         return path
 
     def _spawn(self, name: str, args: list[str]) -> None:
-        # A process started again in this fleet goes on with its log.
+        # A process that is restarted in this fleet appends to its log.
         mode = "ab" if name in self.procs else "wb"
         out = open(self.logs / f"{name}.log", mode)
         self.procs[name] = subprocess.Popen(
@@ -97,19 +98,19 @@
                 return
             time.sleep(_POLL_S)
         raise RuntimeError(
-            f"not listening: {[a for a in addresses if not _port_open(a)]}"
+            f"no process listens on: {[a for a in addresses if not _port_open(a)]}"
         )
 
     def _require_free(self, addresses: list[str]) -> None:
-        # A process that finds its port taken exits, and the test would talk to
-        # the one that has it: another clone's, which it would break as well.
+        # A process whose port is in use exits. The test would then talk to the process
+        # on that port, which belongs to another clone, and disturb that clone's tests.
         if taken := [a for a in addresses if _port_open(a)]:
             raise RuntimeError(f"in use: {taken}")
 
     def start_platform(self, replicas: int | None = None) -> None:
-        """Start the log, instance list, weight store and the replicas.
+        """Start the log, the instance list, the weight store and the replicas.
 
-        :param replicas: how many of the settings' replicas; all by default.
+        :param replicas: how many of the settings' replicas to start; all by default.
         """
         specs = self.fleet.replicas[:replicas]
         p = self.fleet.platform
@@ -133,7 +134,7 @@
         self._wait_ready(addresses)
 
     def publish(self, budget_tokens: int) -> None:
-        """Apply the example's config and top every account up."""
+        """Apply the example's configuration and top up every account."""
         raw = json.loads(self.config_path.read_text())
 
         async def go() -> None:
@@ -160,7 +161,7 @@
         self._wait_ready([self.fleet.entry(entry_id).address])
 
     def start(self, budget_tokens: int = 200_000) -> "Fleet":
-        """Start everything and publish the config."""
+        """Start all processes and publish the configuration."""
         self.start_platform()
         self.publish(budget_tokens)
         self.start_entries()
@@ -175,16 +176,18 @@
         self._wait_ready(addresses)
 
     def signal(self, name: str, sig: int) -> None:
-        """Send ``sig`` to the process ``name`` (by its pid)."""
+        """Send ``sig`` to the process ``name``."""
         os.kill(self.procs[name].pid, sig)
 
     def wait_exit(self, name: str, timeout_s: float = 60.0) -> int:
-        """Wait for ``name`` to exit; its exit code."""
+        """Wait for ``name`` to exit and return its exit status."""
         return self.procs[name].wait(timeout_s)
 
     def stop(self) -> None:
-        """Stop every process this fleet started, by pid: the entries first,
-        which still have bills to append to the log."""
+        """Stop every process that this fleet started, by its pid.
+
+        The entries are stopped first, since they still append bills to the log.
+        """
         entries = {e.entry_id for e in self.fleet.entries}
         self._stop([p for n, p in self.procs.items() if n in entries])
         self._stop([p for n, p in self.procs.items() if n not in entries])
@@ -202,7 +205,7 @@
                 proc.wait()
 
     def keep_logs(self, name: str) -> None:
-        """Copy the logs to a folder that no later fleet writes to."""
+        """Copy the logs to a folder that later fleets do not overwrite."""
         kept = self.logs.parent / "failed" / f"{name}-{time.time_ns()}"
         shutil.copytree(self.logs, kept)
 
@@ -225,7 +228,7 @@
 
 
 def post_json(address: str, path: str, body: Any) -> Any:
-    """``POST http://address/path`` with a JSON body; the JSON answer."""
+    """``POST http://address/path`` with a JSON body; returns the answer's JSON."""
 
     async def go() -> Any:
         async with aiohttp.ClientSession() as http:
@@ -236,7 +239,7 @@
 
 
 def demo(example: str, rate: float, seconds: float, requests: int) -> int:
-    """Bring a deployment up, run the load tool on it, bring it down."""
+    """Start a deployment, run the load tool against it and stop it."""
     with Fleet(example) as fleet:
         cmd = [
             str(BIN / "celerytrack-load"),
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,18 +1,19 @@
-"""A small test language for failure scenarios over a real local fleet.
+"""A small language for failure scenarios, run against the processes of a local fleet.
 
-A scenario is a text file; each line is split by :mod:`shlex` into a verb
-and its words (``key=value`` words are options). Lines starting with ``#``
-are comments. Verbs:
+A scenario is a text file. Each line is split by :mod:`shlex` into a verb and its
+words; words of the form ``key=value`` are options. Lines that start with ``#`` are
+comments. Verbs:
 
 ``fleet NAME [entries=N] [budget=T] [tuning.FIELD=X] [grant.FIELD=X]``;
 ``send N CLASS via ENTRY[,ENTRY] [account=A] [rate=R] [key=K] [bg=1]``;
 ``join``; ``cut ENTRY from log``; ``heal log``; ``log outage on|off``;
 ``log lose-replies N``; ``log retention S``; ``log slow S``;
-``replica ID KNOB=X ..`` (faults of a back end); ``topup ACCOUNT T``;
-``kill NAME``; ``freeze NAME``; ``thaw NAME``; ``drain ENTRY``;
-``start ENTRY``; ``gone ID`` (the instance list drops it); ``leave REPLICA``;
-``apply [base=V]``; ``hold S`` (let a fault last S seconds); ``wait EVENT
-ENTRY [N]`` (until the entry's log shows the event N times); ``expect WHAT
+``replica ID FAULT=X ..`` (faults of a replica); ``topup ACCOUNT T``;
+``kill NAME``; ``freeze NAME``; ``thaw NAME``; ``drain ENTRY`` (SIGTERM);
+``start ENTRY``; ``gone ID`` (the instance list reports it as gone); ``leave REPLICA``
+(the instance list reports it as leaving); ``mark runs REPLICA`` (count its runs from
+now on); ``apply [base=V]``; ``hold S`` (let a fault last S seconds); ``wait EVENT
+ENTRY [N]`` (until the entry's log contains the event N times); ``expect WHAT
 OP N`` where WHAT is one of ``overspend``, ``double-bills``,
 ``double-runs``, ``cut``, ``wrong``, ``done``, ``refused``, ``failed``,
 ``refused-may-have-run``, ``refused-but-ran``, ``unbilled-done``,
@@ -67,7 +68,12 @@
 
 
 class Scenario:
-    """Runs a scenario's lines in order; :attr:`failures` lists broken expects."""
+    """Runs a scenario's lines in order.
+
+    :ivar failures: a message for each expectation that was not met.
+    :ivar marks: run counts of replicas and the times at which replicas left.
+    :ivar figures: the measured value of each expectation.
+    """
 
     def __init__(self) -> None:
         self.fleet: Fleet | None = None
@@ -78,7 +84,7 @@
         self.figures: dict[str, float] = {}
 
     def run_text(self, text: str) -> None:
-        """Run every line of ``text``; always stops the fleet."""
+        """Run every line of ``text``; the fleet is stopped in any case."""
         try:
             for number, line in enumerate(text.splitlines(), 1):
                 words = shlex.split(line, comments=True)
@@ -92,7 +98,7 @@
 
     @property
     def _f(self) -> Fleet:
-        assert self.fleet is not None, "no fleet line yet"
+        assert self.fleet is not None, "the scenario has no fleet line before this one"
         return self.fleet
 
     def _fleet(self, words: list[str], line: int) -> None:
@@ -154,29 +160,29 @@
             thread.join(120)
         self.background.clear()
 
-    def _faults(self, body: dict[str, Any]) -> None:
+    def _set_log_faults(self, body: dict[str, Any]) -> None:
         post_json(self._f.fleet.platform.log_address, "/_faults", body)
 
     def _cut(self, words: list[str], line: int) -> None:
-        self._faults({"cut_clients": [words[0]]})
+        self._set_log_faults({"cut_clients": [words[0]]})
 
     def _heal(self, words: list[str], line: int) -> None:
-        self._faults({"cut_clients": [], "outage": False, "lose_replies": 0})
+        self._set_log_faults({"cut_clients": [], "outage": False, "lose_replies": 0})
 
     def _log(self, words: list[str], line: int) -> None:
-        knobs = {
+        faults = {
             "outage": lambda word: {"outage": word == "on"},
             "lose-replies": lambda word: {"lose_replies": int(word)},
             "retention": lambda word: {"retention_s": float(word)},
             "slow": lambda word: {"slow_s": float(word)},
         }
-        self._faults(knobs[words[0]](words[1]))
+        self._set_log_faults(faults[words[0]](words[1]))
 
     def _replica(self, words: list[str], line: int) -> None:
         plain, opts = _options(words)
         spec = self._f.fleet.replica(plain[0])
-        knobs = {k: json.loads(v) for k, v in opts.items()}
-        post_json(spec.address, "/_faults", knobs)
+        faults = {k: json.loads(v) for k, v in opts.items()}
+        post_json(spec.address, "/_faults", faults)
 
     def _topup(self, words: list[str], line: int) -> None:
         async def go() -> None:
@@ -205,12 +211,12 @@
     def _start(self, words: list[str], line: int) -> None:
         self._f.start_entry(words[0])
 
-    def _instance(self, name: str, state: str) -> None:
+    def _set_instance_state(self, name: str, state: str) -> None:
         address = self._f.fleet.platform.instances_address
         post_json(address, f"/instances/{name}", {"state": state})
 
     def _gone(self, words: list[str], line: int) -> None:
-        self._instance(words[0], "gone")
+        self._set_instance_state(words[0], "gone")
 
     def _wait(self, words: list[str], line: int) -> None:
         event, entry, count = words[0], words[1], int((words[2:] or ["1"])[0])
@@ -218,12 +224,12 @@
         deadline = time.monotonic() + _EVENT_WAIT_S
         while path.read_text().count(f'"message": "{event}"') < count:
             if time.monotonic() > deadline:
-                self.failures.append(f"line {line}: no {event} from {entry}")
+                self.failures.append(f"line {line}: {entry} did not log {event}")
                 return
             time.sleep(0.05)
 
     def _leave(self, words: list[str], line: int) -> None:
-        self._instance(words[0], "leaving")
+        self._set_instance_state(words[0], "leaving")
         self.marks[f"left:{words[0]}"] = time.time()
 
     def _apply(self, words: list[str], line: int) -> None:
@@ -257,7 +263,7 @@
         return float("inf")
 
     def _hold(self, words: list[str], line: int) -> None:
-        # Not synchronisation: the length of time a fault lasts.
+        # This is the duration of a fault, not a means of synchronization.
         time.sleep(float(words[0]))
 
     def _expect(self, words: list[str], line: int) -> None:
@@ -303,7 +309,7 @@
         return float(sum(stats["runs"].values()) - self.marks.get(f"runs:{replica}", 0))
 
     def _mark(self, words: list[str], line: int) -> None:
-        """``mark runs REPLICA``: remember a replica's run count now."""
+        """``mark runs REPLICA``: store the replica's current run count."""
         spec = self._f.fleet.replica(words[1])
         self.marks[f"runs:{words[1]}"] = sum(
             get_json(spec.address, "/_stats")["runs"].values()
--- a/tests/scenario_results.py
+++ b/tests/scenario_results.py
@@ -1,4 +1,4 @@
-"""What the requests of a scenario got, judged."""
+"""Evaluation of the answers to a scenario's requests."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def not_done(results: Iterable[Result]) -> str:
-    """What each request got that was not done, by the id that the logs bear."""
+    """The outcome of each request that was not done, with its id in the logs."""
     return "; ".join(
         f"{r.key} {request_id_for(r.account, r.key)} {r.outcome} {r.reason} {r.verdict}"
         for r in results
@@ -17,7 +17,8 @@
 
 
 def refused_but_ran(fleet: Fleet, results: Iterable[Result]) -> float:
-    """Requests whose every attempt was answered ``did_not_run``, yet ran."""
+    """The number of requests that ran although all their attempts were answered with
+    ``did_not_run``."""
     by_request: dict[str, set[str]] = {}
     for r in results:
         rid = request_id_for(r.account, r.key)
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -1,5 +1,5 @@
-"""A deployment of one entry, one engine and one service, each a process, for tests of
-what an entry does at its own pace. Its addresses are used by no other test run."""
+"""A deployment of one entry, one engine and one service, each its own process, for
+tests of an entry's timing. No other test run uses its addresses."""
 
 import asyncio
 import contextlib
@@ -85,10 +85,10 @@
 
 
 def small_fleet(token_s: float, **tuning: Any) -> Fleet:
-    """A fleet that is not started yet.
+    """Create a fleet without starting it.
 
-    :param token_s: seconds the engine takes for a token.
-    :param tuning: entry timings.
+    :param token_s: seconds the engine takes per token.
+    :param tuning: fields of the entries' tuning.
     """
     with tempfile.TemporaryDirectory(prefix="small-") as name:
         folder = pathlib.Path(name)
@@ -102,7 +102,7 @@
 async def started(
     fleet: Fleet, budget_tokens: int = BUDGET_TOKENS
 ) -> AsyncIterator[Fleet]:
-    """Start ``fleet``, and stop it at the end."""
+    """Start ``fleet`` and stop it on exit."""
     try:
         await asyncio.to_thread(fleet.start, budget_tokens)
         yield fleet
@@ -112,11 +112,12 @@
 
 @attrs.define
 class Outcome:
-    """What a caller saw of one request.
+    """The answer to one request as its caller received it.
 
-    :ivar whole: the answer had an end.
-    :ivar closes: its connection takes no request behind it.
-    :ivar error: the refusal in it, or its last event.
+    :ivar whole: the answer ended properly.
+    :ivar closes: the answer closes its connection.
+    :ivar done: the stream ended with ``[DONE]``.
+    :ivar error: the refusal, or the error in the last event.
     """
 
     status: int | None = None
@@ -128,13 +129,13 @@
 
 
 async def ask_stream(fleet: Fleet, tokens: int) -> Outcome:
-    """Ask for a stream of ``tokens`` and read it to its end."""
+    """Request a stream of ``tokens`` and read it to its end."""
     body = {"model": STREAM_CLASS, "max_tokens": tokens, "messages": []}
     return await _ask(fleet, "/v1/chat/completions", body)
 
 
 async def ask_call(fleet: Fleet) -> Outcome:
-    """Make one plain call."""
+    """Make one service call."""
     return await _ask(fleet, f"/v1/services/{CALL_CLASS}", {})
 
 
@@ -147,14 +148,14 @@
                 outcome.status = answer.status
                 outcome.closes = answer.headers.get("Connection") == "close"
                 async for raw in answer.content:
-                    _note(outcome, raw.strip().removeprefix(b"data: "))
+                    _record_line(outcome, raw.strip().removeprefix(b"data: "))
                 outcome.whole = True
         except aiohttp.ClientError:
             pass
     return outcome
 
 
-def _note(outcome: Outcome, line: bytes) -> None:
+def _record_line(outcome: Outcome, line: bytes) -> None:
     if line == b"[DONE]":
         outcome.done = True
     elif line:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The local fleet of the tests."""
+"""Tests of the local test fleet."""
 
 import pathlib
 import shutil
@@ -13,7 +13,7 @@
 
 class FleetTest(unittest.TestCase):
     def test_a_port_in_use_is_named(self):
-        """A test talks to the processes of a fleet that another clone started."""
+        """Guards against a test that talks to processes of another clone's fleet."""
         with tempfile.TemporaryDirectory() as root, socket.socket() as sock:
             sock.bind((loopback_ip(1), 0))
             sock.listen()
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""The test language for failure scenarios."""
+"""Tests of the language for failure scenarios."""
 
 import unittest
 
@@ -8,8 +8,9 @@
 
 
 class ExpectTest(unittest.TestCase):
-    def test_a_broken_expect_tells_what_the_requests_got(self):
-        """A count is one short, and nothing tells what that request got."""
+    def test_an_unmet_expectation_lists_the_requests_not_done(self):
+        """Guards against a failure that gives a wrong count but not the answer to the
+        request that is missing."""
         scenario = Scenario()
         scenario.results = [
             Result("job", "a", Outcome.DONE, key="k1"),
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The brief's promises, each a scenario over real processes on loopback."""
+"""The promises of the system (p1 to p8) as scenarios over processes on loopback."""
 
 import pathlib
 import unittest
