--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -1,5 +1,5 @@
 """Admission: the checks of a request, the reservation of its cost and the choice
-of a replica. All of it comes before the request is sent to a back end."""
+of a replica. All of it comes before the request is sent to a replica."""
 
 import contextlib
 import hashlib
@@ -259,8 +259,8 @@
     replicas = [r for r in state.view.replicas.values() if r.replica_id not in avoid]
     replica = None
     if avoid:
-        # A request that has failed once is not used to probe another replica that
-        # failed lately, or it could spend all its attempts on probes.
+        # A request that has failed once goes to a replica without recent failures if
+        # one has room, or it could spend all its attempts on replicas that fail.
         sound = [r for r in replicas if r.sound]
         replica = state.choose(sound, ask, zone, now_s)
     replica = replica or state.choose(replicas, ask, zone, now_s)
--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -154,8 +154,8 @@
     async def drain(self) -> None:
         """Accept no new requests, finish the current ones, bill and settle.
 
-        The process keeps running, so requests that outlast the grace time are not cut
-        off.
+        The process keeps running, so requests that outlast the grace time are not
+        aborted.
         """
         self._start_draining()
         await self._wait_idle(time.monotonic() + self.tuning.drain_grace_s)
@@ -236,7 +236,7 @@
             return
         now_s = time.monotonic()
         self.view.record_heartbeat(heartbeat, now_s)
-        # A heartbeat without findings also means that its entry runs no trial.
+        # A heartbeat without findings also means that its entry runs no probe.
         self.suspects.merge(heartbeat.findings or Findings(heartbeat.entry), now_s)
 
     def _grant_policy(self) -> GrantPolicy:
--- a/src/celerytrack/entry/stopping.py
+++ b/src/celerytrack/entry/stopping.py
@@ -16,11 +16,11 @@
 EXIT_S = 0.5
 """Time to end the event loop and the interpreter."""
 CONNECTIONS_S = 0.5
-"""Time to close the connections to the platform and the back ends."""
+"""Time to close the connections to the platform and the replicas."""
 LISTENER_S = 1.0
 """Time to close the listener while answers are still being sent."""
 FINAL_ANSWERS_S = 0.5
-"""Time to answer the callers of requests that are cut off."""
+"""Time to answer the callers of requests that are aborted."""
 
 
 @attrs.frozen
@@ -28,7 +28,7 @@
     """The deadlines of the stages of a planned stop, on the monotonic clock.
 
     :ivar began_s: when the stop signal came.
-    :ivar requests_until_s: requests in progress are cut off.
+    :ivar requests_until_s: requests in progress are aborted.
     :ivar answers_until_s: their callers have been answered.
     :ivar ledger_until_s: records that the log has not accepted are dropped.
     :ivar listener_until_s: the listener is closed.
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -28,7 +28,7 @@
 CLAIM_PROPAGATION_S = 0.15
 """Time until all peers know a claim: one heartbeat interval and its transmission."""
 TYPICAL_PROBE_S = 1.0
-"""Retry-After while a trial of the request runs; most trials have ended by then."""
+"""Retry-After while a probe of the request runs; most probes have ended by then."""
 OPERATOR_LIFT_RETRY_AFTER_S = 3_600.0
 """Retry-After if only a new software release can help."""
 SAME_CRASH_WINDOW_S = 1
@@ -77,7 +77,7 @@
         return self.book.standing(fingerprint, {work.model}, now_s)
 
     def quarantine_refusal(self, fingerprint: Fingerprint, now_s: float) -> Refusal:
-        """The refusal of a request that is quarantined or on trial at another entry."""
+        """The refusal of a request that is quarantined or probed by another entry."""
         back_in_s = self.book.back_in_s(fingerprint, now_s)
         after_s = OPERATOR_LIFT_RETRY_AFTER_S if back_in_s is None else back_in_s
         detail = f"replicas ended under request {fingerprint.hex()}"
@@ -89,8 +89,8 @@
     ) -> frozenset[ReplicaId]:
         """The replicas that a request should not be sent to.
 
-        These are the replicas of trials and, for a suspect request, also those that
-        run another suspect.
+        These are the replicas on which a probe runs and, for a suspect request, also
+        those that run another suspect.
         """
         if not self.book:
             return frozenset()
@@ -102,7 +102,10 @@
     async def begin_probe(
         self, fingerprint: Fingerprint, replica: ReplicaId, lasts_s: float
     ) -> bool:
-        """Claim the trial of a request; whether this entry won the claim."""
+        """Claim the half-open probe of a suspect request, which one entry runs alone.
+
+        :returns: whether this entry won the claim.
+        """
         trial = Trial(fingerprint, EndpointId(replica), lasts_s)
         if self.book.claim(trial, time.monotonic()) is None:
             return False
@@ -123,8 +126,8 @@
         self._suspects_at[replica] -= 1
 
     def cancel_probe(self, request: Fingerprinted) -> None:
-        """Release the trial of the request, if this entry holds one, without a
-        result."""
+        """Release this entry's claim on a probe of the request, if it has one; the
+        probe has no result."""
         if self.book:
             self.book.release(request.fingerprint)
 
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -1,4 +1,4 @@
-"""Sends one request to back ends: whether a failed attempt may have run the request,
+"""Sends one request to replicas: whether a failed attempt may have run the request,
 and whether another replica is tried."""
 
 import asyncio
@@ -34,16 +34,16 @@
 T = TypeVar("T")
 
 MAX_PROBE_S = 60.0
-"""Longest trial of a suspect request, unless the entry that runs it reports
-otherwise."""
+"""Longest time for which a request counts as probed, unless the entry that runs the
+probe reports its end."""
 MAX_ATTEMPTS_WITHOUT_TOKENS = 3
 """Consecutive attempts of one request that may end without a token of the answer."""
 CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""Errors raised before a connection was made: the back end received nothing."""
+"""Errors raised before a connection was made: the replica received nothing."""
 CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, ConnectionError)
-"""Errors of an established connection: the back end may have read the request."""
+"""Errors of an established connection: the replica may have read the request."""
 _NOT_RUN_STATUSES = frozenset({400, 404, 408, 421, 429, 503})
-"""Statuses by which a back end guarantees that it did not run the request."""
+"""Statuses by which a replica guarantees that it did not run the request."""
 
 
 class NoRetryReason(enum.Enum):
@@ -56,18 +56,18 @@
 
 
 def replica_unreachable() -> Refusal:
-    """The refusal if no connection to the back end could be made."""
+    """The refusal if no connection to the replica could be made."""
     return did_not_run(Reason.UPSTREAM_FAILED, 1.0, "back end unreachable")
 
 
 def replica_failed() -> Refusal:
-    """The refusal if the connection failed after the back end may have read the
+    """The refusal if the connection failed after the replica may have read the
     request."""
     return may_have_run(Reason.UPSTREAM_FAILED, 1.0, "back end failed")
 
 
 def bad_status(status: int) -> Refusal:
-    """The refusal if the back end answered with a status other than 200."""
+    """The refusal if the replica answered with a status other than 200."""
     detail = f"back end answered {status}"
     if status in _NOT_RUN_STATUSES:
         return did_not_run(Reason.UPSTREAM_FAILED, 1.0, detail)
@@ -75,13 +75,13 @@
 
 
 def stop_deadline_exceeded() -> Refusal:
-    """The refusal if the entry stops before the back end's answer is complete."""
+    """The refusal if the entry stops before the replica's answer is complete."""
     detail = "the entry stopped before the answer was whole; ask /v1/route again"
     return may_have_run(Reason.DEADLINE, 0.0, detail)
 
 
 def draining_before_send() -> Refusal:
-    """The refusal if the entry stops before the request was sent to a back end."""
+    """The refusal if the entry stops before the request was sent to a replica."""
     detail = "entry is draining; ask /v1/route again"
     return did_not_run(Reason.DRAINING, 0.0, detail)
 
@@ -165,7 +165,7 @@
             state.suspects.cancel_probe(admitted)
             return Failure(stop_deadline_exceeded())
         except BaseException:
-            # The caller disconnected or the process stops: the trial has no result.
+            # The caller disconnected or the process stops: the probe has no result.
             state.suspects.cancel_probe(admitted)
             raise
         finally:
@@ -197,8 +197,8 @@
 ) -> ReplicaLoad:
     """Choose the replica of the next attempt.
 
-    As long as some replica has room, the request is not sent to one with a trial in
-    progress, and a suspect request not to one that runs another suspect.
+    While other replicas have room, a request is not sent to one on which a probe
+    runs, and a suspect request is not sent to one that runs another suspect.
 
     :raises RefusedError: if no replica has room.
     """
@@ -245,8 +245,8 @@
         return NoRetryReason.ATTEMPTS
     if not may_retry(refusal, work.idempotent):
         return NoRetryReason.NOT_IDEMPOTENT
-    # A started answer can only be cut, not refused, and a caller that retries a cut
-    # answer makes the engines generate all of it again.
+    # A started answer can only be aborted, not refused, and a caller that retries an
+    # aborted answer makes the engines generate all of it again.
     if not history.streaming and not state.retries.take():
         return NoRetryReason.RETRY_BUDGET
     return None
--- a/tests/test_entry_stop.py
+++ b/tests/test_entry_stop.py
@@ -189,7 +189,7 @@
             self._check_refusal(await asking)
 
     def test_a_stop_after_a_drain_lets_streams_finish(self):
-        """Guards against a stop that cuts streams because a drain preceded it."""
+        """Guards against a stop that aborts streams because a drain preceded it."""
         asyncio.run(self._stop_after_drain())
 
     async def _stop_after_drain(self) -> None:
@@ -223,7 +223,7 @@
             self.assertEqual(await _exit_status(fleet, GRACE_S), 0)
 
     def test_a_request_after_the_signal_is_refused_at_once(self):
-        """Guards against accepting a request that the stop would cut off."""
+        """Guards against accepting a request that the stop would abort."""
         asyncio.run(self._late_request())
 
     async def _late_request(self) -> None:
--- a/tests/test_entry_waits.py
+++ b/tests/test_entry_waits.py
@@ -56,8 +56,8 @@
             await log.close()
             self.assertGreaterEqual(version, 0, why)
             entry = fleet.fleet.entry(ENTRY).address
-            ends_s = time.monotonic() + IN_FORCE_WITHIN_S
-            while time.monotonic() < ends_s:
+            until_s = time.monotonic() + IN_FORCE_WITHIN_S
+            while time.monotonic() < until_s:
                 status = await asyncio.to_thread(get_json, entry, "/status")
                 if status["config_version"] == version:
                     return
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -57,8 +57,8 @@
         return sorted(at_s for times_s in seen for at_s in times_s), results
 
 
-class TrialTest(unittest.IsolatedAsyncioTestCase):
-    """Trials that end without a result."""
+class ProbeTest(unittest.IsolatedAsyncioTestCase):
+    """Half-open probes that end without a result."""
 
     async def test_a_caller_that_disconnects_during_the_claim_releases_it(self) -> None:
         """Guards against a claim that stays for a minute, in which no entry can try the
@@ -72,8 +72,8 @@
             await claim
         self.assertFalse(suspects.book.holds(KNOWN))
 
-    def test_a_heartbeat_without_findings_ends_the_trials_of_its_entry(self) -> None:
-        """Guards against a trial without a result that blocks the request for a
+    def test_a_heartbeat_without_findings_ends_the_probes_of_its_entry(self) -> None:
+        """Guards against a probe without a result that blocks the request for a
         minute."""
         state = EntryState(load_json(FLEET_JSON, FleetSettings), "entry-1")
         peer = EntryId("entry-2")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -121,17 +121,17 @@
         ("tttttttt.",),  # more attempts than replicas
     )
     def test_an_answer_that_makes_progress_is_continued(self, outcomes):
-        """Guards against cutting an answer after three attempts that all add tokens."""
+        """Guards against aborting an answer after three attempts that add tokens."""
         result, tried = _run(_state(), outcomes)
         self.assertEqual((result, len(tried)), (Success(1), len(outcomes)))
 
-    def test_an_answer_without_progress_is_cut(self):
+    def test_an_answer_without_progress_is_aborted(self):
         """Guards against endless retries of a started answer without progress."""
         result, tried = _run(_state(), "tfff.")
         self.assertEqual((type(result), len(tried)), (Failure, 4))
 
     def test_started_answers_continue_without_retry_budget(self):
-        """Guards against cutting started answers after others used up the retries."""
+        """Guards against aborting started answers after others used up the retries."""
         state = _state()
         for _ in range(30):
             self.assertEqual(_run(state, "t.")[0], Success(1))
@@ -146,7 +146,7 @@
 
     @params({"running": 16}, {"leaving": True})
     def test_a_replica_that_failed_lately_is_used_if_no_other_can(self, state_of_b):
-        """Guards against cutting an answer because the only replica without recent
+        """Guards against aborting an answer because the only replica without recent
         failures is full or leaving."""
         state = _state()
         a, b, *others = state.view.replicas.values()
@@ -158,7 +158,7 @@
         self.assertEqual((result, tried), (Success(1), [a.replica_id, "c"]))
 
     def test_a_started_answer_is_not_shed(self):
-        """Guards against cutting a low-priority answer while other replicas fill up."""
+        """Guards against aborting a low-priority answer while replicas fill up."""
         state = _state()
         a, *others = state.view.replicas.values()
         for replica in others:
