--- a/src/celerytrack/entry/grant_manager.py
+++ b/src/celerytrack/entry/grant_manager.py
@@ -49,10 +49,10 @@
 
     :param log: client of the platform log.
     :param entry: this entry's id.
-    :param boot_id: unique per process start, part of every grant id.
+    :param boot_id: id of this process's incarnation, part of every grant id.
     :param policy: returns the grant policy in force; called on each use.
     :param tuning: how often to append and to write snapshots.
-    :param is_elected: whether this entry is elected for the fleet's task of that name.
+    :param is_elected: whether this entry runs the singleton task of that name.
     :param is_gone: whether the platform lists an entry as gone.
     """
 
@@ -194,7 +194,7 @@
             self._synced_at_s = time.monotonic()
 
     async def bill(self, bill: Bill) -> BillOutcome:
-        """Append ``bill`` and apply the ledger's outcome to the escrow book."""
+        """Append ``bill`` and apply the ledger's outcome to the escrow."""
         outcome = await self.writer.submit_bill(bill)
         self._confirm_bill(bill.charges, outcome)
         if outcome is not BillOutcome.CHARGED:
--- a/src/celerytrack/entry/ledger_writer.py
+++ b/src/celerytrack/entry/ledger_writer.py
@@ -37,7 +37,7 @@
     """Owns the queue of records and the appends to the ledger stream.
 
     :param log: client of the platform log.
-    :param writer_id: unique per process start.
+    :param writer_id: unique per incarnation of the process.
     :param flush_s: the shortest time between two appends.
     :param on_appended: called with the offset of each appended batch.
     :param on_contact: called after each append with whether the log answered.
--- a/src/celerytrack/entry/peers.py
+++ b/src/celerytrack/entry/peers.py
@@ -34,7 +34,7 @@
 class Heartbeat:
     """One heartbeat.
 
-    :ivar seq: increases within one start of the entry's process (``boot_id``).
+    :ivar seq: increases within one incarnation (``boot_id``) of the entry.
     :ivar loads: the entry's own load at each replica; absent if it has none there.
     :ivar findings: its findings about requests that crash replicas.
     """
@@ -131,7 +131,7 @@
             except ValueError as exc:
                 log_event(_log, Event.PEER_NEWS_BAD, logging.WARNING, error=str(exc))
                 continue
-            # After a reconnect, queued heartbeats of the same process may arrive
+            # After a reconnect, queued heartbeats of the same incarnation may arrive
             # after a newer one. They must not restore an old state.
             sender = f"{heartbeat.entry}/{heartbeat.boot_id}"
             if heartbeat.seq > self._last_seq.get(sender, -1):
--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -164,8 +164,8 @@
     async def stop(self) -> StopTimes:
         """Drain within the time that is left before the supervisor kills the process.
 
-        Also after an earlier :meth:`drain`: the requests and records it waits for are
-        waited for here again.
+        An earlier :meth:`drain` may still be waiting; the same requests and records
+        are waited for here again.
 
         :returns: the schedule of the stop; the closing stages are left to the caller.
         """
@@ -243,7 +243,7 @@
         return self.config.config.grant if self.config.config else GrantPolicy()
 
     def _is_elected(self, task: str) -> bool:
-        """Whether this entry runs the fleet's task named ``task``.
+        """Whether this entry runs the fleet's singleton task named ``task``.
 
         Rendezvous hashing elects one of the live entries. Two entries may run a task
         for a moment while their views differ, and every task tolerates that.
