--- a/src/celerytrack/entry/state.py
+++ b/src/celerytrack/entry/state.py
@@ -85,7 +85,7 @@
     @property
     def upstream(self) -> aiohttp.ClientSession:
         """The HTTP session for engines and services."""
-        assert self._upstream is not None, "not started"
+        assert self._upstream is not None, "start() has not been called"
         return self._upstream
 
     def usable_entries(self, now_s: float) -> dict[EntryId, EntryInfo]:
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -93,7 +93,7 @@
     :ivar streaming: the caller has received a part of the answer.
     :ivar failed_in_row: consecutive failed attempts that produced no token.
     :ivar avoid: replicas that failed the request since its last token.
-    :ivar refusal: the answer if no attempt succeeds. Once an attempt may have run,
+    :ivar refusal: the answer if no attempt succeeds. Once an attempt may have run it,
         its refusal is kept, however later attempts end.
     """
 
@@ -102,7 +102,7 @@
     avoid: frozenset[ReplicaId] = frozenset()
     refusal: Refusal | None = None
 
-    def ask(self, ask: Ask) -> Ask:
+    def next_ask(self, ask: Ask) -> Ask:
         """The next attempt's placement request.
 
         A started answer gets the top priority: it is not shed in favor of more
@@ -206,11 +206,11 @@
     if isolated:
         try:
             return choose_replica(
-                state, admitted.work, history.ask(ask), history.avoid | isolated
+                state, admitted.work, history.next_ask(ask), history.avoid | isolated
             )
         except RefusedError:
             pass
-    return choose_replica(state, admitted.work, history.ask(ask), history.avoid)
+    return choose_replica(state, admitted.work, history.next_ask(ask), history.avoid)
 
 
 def _quarantine_refusal(state: EntryState, admitted: AdmittedRequest) -> Refusal:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -105,7 +105,7 @@
         # A process whose port is in use exits. The test would then talk to the process
         # on that port, which belongs to another clone, and disturb that clone's tests.
         if taken := [a for a in addresses if _port_open(a)]:
-            raise RuntimeError(f"in use: {taken}")
+            raise RuntimeError(f"addresses already in use: {taken}")
 
     def start_platform(self, replicas: int | None = None) -> None:
         """Start the log, the instance list, the weight store and the replicas.
