--- a/src/celerytrack/entry/charging.py
+++ b/src/celerytrack/entry/charging.py
@@ -23,7 +23,10 @@
 
 
 async def charge(
-    state: EntryState, admitted: AdmittedRequest, reservation: GrantReservation, spent: int
+    state: EntryState,
+    admitted: AdmittedRequest,
+    reservation: GrantReservation,
+    spent: int,
 ) -> None:
     """Bill ``spent`` tokens of ``reservation`` and wait until the bill is on the log.
 
@@ -48,7 +51,10 @@
 
 
 async def _bill(
-    state: EntryState, admitted: AdmittedRequest, reservation: GrantReservation, spent: int
+    state: EntryState,
+    admitted: AdmittedRequest,
+    reservation: GrantReservation,
+    spent: int,
 ) -> BillOutcome | None:
     charges = state.grant_manager.escrow.commit(reservation, spent)
     bill = Bill(
