--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -1,11 +1,12 @@
-"""Which requests may have ended the endpoints that ran them, without I/O.
+"""Quarantine of requests that may have crashed their endpoints, without I/O.
 
-A request that ends what runs it comes again, at any entry, and each endpoint that runs
-it ends too. Evidence therefore belongs to the request, by its fingerprint, and is the
-same at all entries: a set of endings that only grows, and a set of those forgiven.
+A request that crashes its endpoint is repeated at any entry, and crashes each endpoint
+that runs it. Evidence is therefore kept per request, by fingerprint, and is the same at
+all entries: a grow-only set of crashes and a grow-only set of cleared crashes.
 
-Harmless requests that ran beside it share the blame. One that ends well anywhere is
-forgiven all of it; one that was there twice is tried alone, by one entry at a time.
+Harmless requests that run beside a crashing request are suspected too. A request that
+succeeds at any entry is cleared of all its crashes. A request that was running in two
+crashes is probed alone, by one entry at a time.
 """
 
 import enum
@@ -20,39 +21,41 @@
 ENDINGS_TO_TRY_ALONE = 2
 ENDINGS_TO_SHUT_OUT = 3
 QUARANTINES_S = (20.0, 300.0, 3_600.0)
-"""How long a request is shut out after its third, fourth and fifth ending. After the
-sixth it stays out until an operator lifts it: three tries are what endpoints may lose
-to a request that is known."""
+"""How long a request is quarantined after its third, fourth and fifth crash. After the
+sixth it stays quarantined until an operator lifts it: a request known to crash
+endpoints may crash at most three more in probes."""
 SUSPECT_KEPT_S = 900.0
-"""How long a request that is not shut out is remembered after its last ending: one that
-comes every few minutes is still known by its third."""
+"""How long a request that is not quarantined is remembered after its last crash: long
+enough to count three crashes of a request that is repeated every few minutes."""
 MOST_SUSPECTS = 4_096
-"""Requests remembered: about a megabyte, and far more than run at the endpoints that
-end within minutes."""
+"""About 1 MB, and far more requests than run at the endpoints that crash within a few
+minutes."""
 DROPPED_SHARE = 0.1
-"""Part of them that is forgotten at once when there are more."""
+"""Share of the suspects that is evicted at once when there are too many."""
 FORGET_EACH_S = 1.0
-"""Shortest time between two looks for what is old: with thousands remembered one takes
-some ms, and notes come by the dozen."""
+"""Shortest time between two expiry passes. With thousands of suspects one pass takes a
+few ms, and notes of other entries arrive by the dozen."""
 MOST_TOLD = 64
-"""Endings in an entry's own record: the ones that count most."""
+"""Most items of each kind in an entry's own record. Evidence against the requests with
+the most crashes goes first."""
 
 
 class Standing(enum.Enum):
-    """What a request is taken for."""
+    """Whether and how a request may be sent to endpoints."""
 
     CLEAR = "clear"
     WATCHED = "watched"
-    """An endpoint ended under it, which may have been the doing of another."""
+    """An endpoint crashed while running it; another request may be the cause."""
     ALONE = "alone"
-    """Endpoints ended under it time and again: one entry at a time may try it."""
+    """Several endpoints crashed while they ran the request: one entry at a time may
+    send it, as a probe."""
     SHUT_OUT = "shut_out"
-    """It is not sent to any endpoint."""
+    """The request is not sent to any endpoint."""
 
 
 @attrs.define
-class _Held:
-    """A trial as this entry knows it."""
+class _ActiveProbe:
+    """A probe in progress, of this or another entry."""
 
     entry_id: EntryId
     endpoint_id: EndpointId
@@ -61,31 +64,31 @@
 
 @attrs.define
 class _Suspicion:
-    """What is known of one request; endings by when they were heard of."""
+    """Crashes of one request, with the times at which this entry learned of them."""
 
     endings: dict[Ending, float] = attrs.field(factory=dict)
     forgiven: dict[Ending, float] = attrs.field(factory=dict)
 
     @property
-    def counted(self) -> list[Ending]:
+    def uncleared(self) -> list[Ending]:
         return [ending for ending in self.endings if ending not in self.forgiven]
 
     @property
-    def last_s(self) -> float:
+    def last_change_s(self) -> float:
         times_s = (*self.endings.values(), *self.forgiven.values())
         return max(times_s, default=float("-inf"))
 
     @property
-    def last_counted_s(self) -> float:
-        return max((self.endings[e] for e in self.counted), default=float("-inf"))
+    def last_uncleared_s(self) -> float:
+        return max((self.endings[e] for e in self.uncleared), default=float("-inf"))
 
 
 @attrs.frozen
 class Suspect:
-    """One request under suspicion, for people.
+    """One suspected request, as operators see it.
 
-    :ivar free_in_s: when it may be tried again; ``None`` if only an operator's word
-        helps.
+    :ivar free_in_s: time until it may be probed; ``None`` if only an operator can lift
+        the quarantine.
     """
 
     fingerprint: Fingerprint
@@ -95,175 +98,199 @@
 
 
 class SuspectBook:
-    """The requests under suspicion, as one entry knows them.
+    """The suspected requests, as one entry knows them.
 
     :param me: this entry.
     """
 
     def __init__(self, me: EntryId) -> None:
         self.me = me
-        self._known: dict[Fingerprint, _Suspicion] = {}
-        self._places: dict[Place, int] = {}
-        self._trials: dict[Fingerprint, _Held] = {}
-        self._own: dict[Evidence, float] = {}
-        self._own_forgiven: dict[Evidence, float] = {}
-        self._forget_at_s = float("-inf")
+        self._suspects: dict[Fingerprint, _Suspicion] = {}
+        self._prefix_counts: dict[Place, int] = {}
+        self._probes: dict[Fingerprint, _ActiveProbe] = {}
+        self._own_evidence: dict[Evidence, float] = {}
+        self._own_cleared: dict[Evidence, float] = {}
+        self._next_expiry_s = float("-inf")
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._suspects)
 
     def watches(self, place: Place) -> bool:
-        """Whether some request at ``place`` is known: others need no fingerprint."""
-        return place in self._places
+        """Whether a suspect's fingerprint begins with ``place``.
+
+        The bodies of other requests need not be hashed.
+        """
+        return place in self._prefix_counts
 
     # -- evidence ------------------------------------------------------------
 
     def witnessed(
         self, ending: Ending, fingerprints: Iterable[Fingerprint], now_s: float
     ) -> Findings:
-        """An endpoint ended under requests of this entry; what to tell the others."""
-        seen = tuple(Evidence(fingerprint, ending) for fingerprint in fingerprints)
-        for evidence in seen:
-            self._own[evidence] = now_s
-            self._blame(evidence, now_s)
+        """Record that an endpoint crashed while it ran requests of this entry.
+
+        :returns: what to send to the other entries.
+        """
+        found = tuple(Evidence(fingerprint, ending) for fingerprint in fingerprints)
+        for evidence in found:
+            self._own_evidence[evidence] = now_s
+            self._add_crash(evidence, now_s)
         self.forget(now_s)
-        return Findings(self.me, seen)
+        return Findings(self.me, found)
 
     def heard(self, findings: Findings, whole: bool, now_s: float) -> None:
-        """Take what another entry found.
+        """Merge the findings of another entry.
 
-        :param whole: whether it is all that the entry has to tell now.
+        :param whole: whether they are the entry's complete record, so that its probes
+            that are missing there are over.
         """
         for evidence in findings.seen:
-            self._blame(evidence, now_s)
+            self._add_crash(evidence, now_s)
         for evidence in findings.forgiven:
-            self._forgive(evidence, now_s)
+            self._clear(evidence, now_s)
         if whole:
-            self._trials = {
-                fingerprint: held
-                for fingerprint, held in self._trials.items()
-                if held.entry_id != findings.entry_id
+            self._probes = {
+                fingerprint: active
+                for fingerprint, active in self._probes.items()
+                if active.entry_id != findings.entry_id
             }
         for trial in findings.trials:
-            self._hear_trial(findings.entry_id, trial, now_s)
+            self._merge_probe(findings.entry_id, trial, now_s)
         self.forget(now_s)
 
     def adopt(self, findings: Findings, now_s: float) -> None:
-        """Take over what an earlier start of this entry found."""
+        """Restore what this entry found before it was restarted."""
         for evidence in findings.seen:
-            self._own[evidence] = now_s
-            self._blame(evidence, now_s)
+            self._own_evidence[evidence] = now_s
+            self._add_crash(evidence, now_s)
         for evidence in findings.forgiven:
-            self._own_forgiven[evidence] = now_s
-            self._forgive(evidence, now_s)
+            self._own_cleared[evidence] = now_s
+            self._clear(evidence, now_s)
 
     def forgive(self, fingerprint: Fingerprint, now_s: float) -> Findings:
-        """A request ended well; what to tell the others.
+        """Clear a request that succeeded.
 
-        One that was there once is forgiven here alone: nobody holds it back.
+        :returns: what to send to the other entries: nothing for a request with a single
+            crash, which no entry holds back.
         """
-        suspicion = self._known.get(fingerprint)
-        once = suspicion and len(suspicion.counted) < ENDINGS_TO_TRY_ALONE
+        suspicion = self._suspects.get(fingerprint)
+        single_crash = suspicion and len(suspicion.uncleared) < ENDINGS_TO_TRY_ALONE
         findings = self.lift(fingerprint, now_s)
-        if once:
+        if single_crash:
             return Findings(self.me)
-        self._own_forgiven.update(dict.fromkeys(findings.forgiven, now_s))
+        self._own_cleared.update(dict.fromkeys(findings.forgiven, now_s))
         return findings
 
     def lift(self, fingerprint: Fingerprint, now_s: float) -> Findings:
-        """Forgive a request all that it is blamed for; what to tell the others."""
-        suspicion = self._known.get(fingerprint)
+        """Clear a request of all its crashes.
+
+        :returns: what to send to the other entries.
+        """
+        suspicion = self._suspects.get(fingerprint)
         if suspicion is None:
             return Findings(self.me)
-        told = tuple(Evidence(fingerprint, ending) for ending in suspicion.counted)
-        self._trials.pop(fingerprint, None)
-        for evidence in told:
-            self._forgive(evidence, now_s)
-        return Findings(self.me, forgiven=told)
+        cleared = tuple(Evidence(fingerprint, ending) for ending in suspicion.uncleared)
+        self._probes.pop(fingerprint, None)
+        for evidence in cleared:
+            self._clear(evidence, now_s)
+        return Findings(self.me, forgiven=cleared)
 
     # -- decisions -----------------------------------------------------------
 
     def standing(
         self, fingerprint: Fingerprint, builds: Collection[str], now_s: float
     ) -> Standing:
-        """What a request is taken for.
+        """Whether and how a request may be sent.
 
-        :param builds: of the endpoints it may be sent to. What ended other builds may
-            be mended in these.
+        :param builds: builds of the endpoints to which it may be sent. The fault that
+            crashed other builds may be fixed in these.
         """
-        suspicion = self._known.get(fingerprint)
-        counted = suspicion.counted if suspicion else []
-        if suspicion is None or not counted:
+        suspicion = self._suspects.get(fingerprint)
+        uncleared = suspicion.uncleared if suspicion else []
+        if suspicion is None or not uncleared:
             return Standing.CLEAR
-        if len(counted) < ENDINGS_TO_TRY_ALONE:
+        if len(uncleared) < ENDINGS_TO_TRY_ALONE:
             return Standing.WATCHED
-        if len(counted) < ENDINGS_TO_SHUT_OUT:
+        if len(uncleared) < ENDINGS_TO_SHUT_OUT:
             return Standing.ALONE
-        free_in_s = _free_in_s(suspicion, now_s)
+        free_in_s = _quarantine_left_s(suspicion, now_s)
         if free_in_s is None:
             return Standing.SHUT_OUT
-        other_builds = builds and not {e.build for e in counted} & set(builds)
-        due = free_in_s <= 0 or other_builds
-        return Standing.ALONE if due else Standing.SHUT_OUT
+        other_builds = builds and not {e.build for e in uncleared} & set(builds)
+        may_probe = free_in_s <= 0 or other_builds
+        return Standing.ALONE if may_probe else Standing.SHUT_OUT
 
     def back_in_s(self, fingerprint: Fingerprint, now_s: float) -> float | None:
-        """When a request that is held back may be tried; ``None`` for not by itself."""
-        suspicion = self._known.get(fingerprint)
+        """Time until a request that is held back may be sent; ``None`` if an operator
+        must lift the quarantine."""
+        suspicion = self._suspects.get(fingerprint)
         if suspicion is None:
             return 0.0
-        held = self._trials.get(fingerprint)
-        trial_s = held.ends_s - now_s if held else 0.0
-        if len(suspicion.counted) < ENDINGS_TO_SHUT_OUT:
+        active = self._probes.get(fingerprint)
+        trial_s = active.ends_s - now_s if active else 0.0
+        if len(suspicion.uncleared) < ENDINGS_TO_SHUT_OUT:
             return max(0.0, trial_s)
-        free_in_s = _free_in_s(suspicion, now_s)
+        free_in_s = _quarantine_left_s(suspicion, now_s)
         return None if free_in_s is None else max(0.0, free_in_s, trial_s)
 
     def claim(self, trial: Trial, now_s: float) -> Findings | None:
-        """Begin to try a request alone, unless it is being tried; what to tell."""
-        held = self._trials.get(trial.fingerprint)
-        if held is not None and held.ends_s > now_s:
+        """Begin a probe of a request.
+
+        :returns: what to send to the other entries; ``None`` if a probe of the request
+            is in progress.
+        """
+        active = self._probes.get(trial.fingerprint)
+        if active is not None and active.ends_s > now_s:
             return None
         ends_s = now_s + trial.lasts_s
-        self._trials[trial.fingerprint] = _Held(self.me, trial.endpoint_id, ends_s)
+        self._probes[trial.fingerprint] = _ActiveProbe(
+            self.me, trial.endpoint_id, ends_s
+        )
         return Findings(self.me, trials=(trial,))
 
     def holds(self, fingerprint: Fingerprint) -> bool:
-        """Whether this entry tries the request."""
-        held = self._trials.get(fingerprint)
-        return held is not None and held.entry_id == self.me
+        """Whether this entry has a probe of the request in progress."""
+        active = self._probes.get(fingerprint)
+        return active is not None and active.entry_id == self.me
 
     def release(self, fingerprint: Fingerprint) -> Findings:
-        """This entry's trial ended and showed nothing; what to tell the others."""
+        """End this entry's probe without a result.
+
+        :returns: what to send to the other entries.
+        """
         if not self.holds(fingerprint):
             return Findings(self.me)
-        held = self._trials.pop(fingerprint)
-        over = Trial(fingerprint, held.endpoint_id, 0.0)
-        return Findings(self.me, trials=(over,))
+        active = self._probes.pop(fingerprint)
+        finished = Trial(fingerprint, active.endpoint_id, 0.0)
+        return Findings(self.me, trials=(finished,))
 
     def endpoints_on_trial(self, now_s: float) -> set[EndpointId]:
-        """Where requests are tried alone now."""
-        held = self._trials.values()
-        return {trial.endpoint_id for trial in held if trial.ends_s > now_s}
+        """The endpoints at which probes are in progress."""
+        active = self._probes.values()
+        return {trial.endpoint_id for trial in active if trial.ends_s > now_s}
 
-    # -- what is told ----------------------------------------------------------
+    # -- reports -----------------------------------------------------------------
 
     def record(self, now_s: float, day_s: float = 0.0) -> Findings:
-        """All that this entry has to tell, the weightiest first.
+        """This entry's record: requests with most crashes first, then the newest.
 
-        :param day_s: the time of day, in Unix seconds.
+        :param day_s: current Unix time.
         """
         self.forget(now_s)
         seen = sorted(
-            (e for e in self._own if self._counts(e)),
-            key=lambda e: (-len(self._known[e.fingerprint].counted), -self._own[e]),
+            (e for e in self._own_evidence if self._is_uncleared(e)),
+            key=lambda e: (
+                -len(self._suspects[e.fingerprint].uncleared),
+                -self._own_evidence[e],
+            ),
         )
         forgiven = sorted(
-            self._own_forgiven, key=lambda e: self._own_forgiven[e], reverse=True
+            self._own_cleared, key=lambda e: self._own_cleared[e], reverse=True
         )
         trials = [
-            Trial(fingerprint, held.endpoint_id, held.ends_s - now_s)
-            for fingerprint, held in self._trials.items()
-            if held.entry_id == self.me and held.ends_s > now_s
+            Trial(fingerprint, active.endpoint_id, active.ends_s - now_s)
+            for fingerprint, active in self._probes.items()
+            if active.entry_id == self.me and active.ends_s > now_s
         ]
         seen = seen[:MOST_TOLD]
         return Findings(
@@ -271,106 +298,116 @@
             tuple(seen),
             tuple(forgiven[:MOST_TOLD]),
             tuple(trials[:MOST_TOLD]),
-            tuple(int(day_s - now_s + self._own[e]) for e in seen),
+            tuple(int(day_s - now_s + self._own_evidence[e]) for e in seen),
         )
 
     def suspects(self, now_s: float) -> list[Suspect]:
-        """All requests under suspicion, the weightiest first."""
-        found = [self.suspect(f, now_s) for f, s in self._known.items() if s.counted]
+        """All suspected requests, those with most crashes first."""
+        found = [
+            self.suspect(f, now_s) for f, s in self._suspects.items() if s.uncleared
+        ]
         return sorted(found, key=lambda s: -len(s.endings))
 
     def suspect(self, fingerprint: Fingerprint, now_s: float) -> Suspect:
-        """What is known of one request."""
-        suspicion = self._known.get(fingerprint, _Suspicion())
+        """The state and the crashes of one request."""
+        suspicion = self._suspects.get(fingerprint, _Suspicion())
         return Suspect(
             fingerprint=fingerprint,
             standing=self.standing(fingerprint, (), now_s),
-            endings=tuple(suspicion.counted),
-            free_in_s=_free_in_s(suspicion, now_s),
+            endings=tuple(suspicion.uncleared),
+            free_in_s=_quarantine_left_s(suspicion, now_s),
         )
 
     # -- internals ---------------------------------------------------------------
 
     def forget(self, now_s: float) -> None:
-        """Forget what is old, and the least weighty of what is too much; looked for
-        once in a while."""
-        if now_s < self._forget_at_s and len(self._known) <= MOST_SUSPECTS:
+        """Remove expired suspects and, if there are too many, those with the fewest and
+        oldest crashes.
+
+        Does nothing if the last pass was less than :data:`FORGET_EACH_S` ago and there
+        are not too many.
+        """
+        if now_s < self._next_expiry_s and len(self._suspects) <= MOST_SUSPECTS:
             return
-        self._forget_at_s = now_s + FORGET_EACH_S
-        self._trials = {f: h for f, h in self._trials.items() if h.ends_s > now_s}
-        old = [f for f, s in self._known.items() if _is_old(s, now_s)]
-        for fingerprint in old:
-            self._drop(fingerprint)
-        if len(self._known) > MOST_SUSPECTS:
-            weight = sorted(self._known, key=lambda f: _weight(self._known[f]))
-            for fingerprint in weight[: int(MOST_SUSPECTS * DROPPED_SHARE)]:
-                self._drop(fingerprint)
-        for own in (self._own, self._own_forgiven):
-            for evidence in [e for e in own if e.fingerprint not in self._known]:
+        self._next_expiry_s = now_s + FORGET_EACH_S
+        self._probes = {f: h for f, h in self._probes.items() if h.ends_s > now_s}
+        expired = [f for f, s in self._suspects.items() if _is_expired(s, now_s)]
+        for fingerprint in expired:
+            self._evict(fingerprint)
+        if len(self._suspects) > MOST_SUSPECTS:
+            ranked = sorted(
+                self._suspects, key=lambda f: _eviction_rank(self._suspects[f])
+            )
+            for fingerprint in ranked[: int(MOST_SUSPECTS * DROPPED_SHARE)]:
+                self._evict(fingerprint)
+        for own in (self._own_evidence, self._own_cleared):
+            for evidence in [e for e in own if e.fingerprint not in self._suspects]:
                 del own[evidence]
 
-    def _drop(self, fingerprint: Fingerprint) -> None:
-        del self._known[fingerprint]
-        self._trials.pop(fingerprint, None)
+    def _evict(self, fingerprint: Fingerprint) -> None:
+        del self._suspects[fingerprint]
+        self._probes.pop(fingerprint, None)
         place = place_in(fingerprint)
-        self._places[place] -= 1
-        if not self._places[place]:
-            del self._places[place]
+        self._prefix_counts[place] -= 1
+        if not self._prefix_counts[place]:
+            del self._prefix_counts[place]
 
     def _suspicion(self, fingerprint: Fingerprint) -> _Suspicion:
-        known = self._known.get(fingerprint)
-        if known is None:
-            known = self._known[fingerprint] = _Suspicion()
+        suspicion = self._suspects.get(fingerprint)
+        if suspicion is None:
+            suspicion = self._suspects[fingerprint] = _Suspicion()
             place = place_in(fingerprint)
-            self._places[place] = self._places.get(place, 0) + 1
-        return known
+            self._prefix_counts[place] = self._prefix_counts.get(place, 0) + 1
+        return suspicion
 
-    def _blame(self, evidence: Evidence, now_s: float) -> None:
+    def _add_crash(self, evidence: Evidence, now_s: float) -> None:
         suspicion = self._suspicion(evidence.fingerprint)
         if evidence.ending in suspicion.endings:
             return
         suspicion.endings[evidence.ending] = now_s
-        held = self._trials.get(evidence.fingerprint)
-        if held is not None and held.endpoint_id == evidence.ending.endpoint_id:
-            del self._trials[evidence.fingerprint]
+        active = self._probes.get(evidence.fingerprint)
+        if active is not None and active.endpoint_id == evidence.ending.endpoint_id:
+            del self._probes[evidence.fingerprint]
 
-    def _forgive(self, evidence: Evidence, now_s: float) -> None:
+    def _clear(self, evidence: Evidence, now_s: float) -> None:
         suspicion = self._suspicion(evidence.fingerprint)
         suspicion.forgiven.setdefault(evidence.ending, now_s)
-        if not suspicion.counted:
-            self._trials.pop(evidence.fingerprint, None)
+        if not suspicion.uncleared:
+            self._probes.pop(evidence.fingerprint, None)
 
-    def _hear_trial(self, entry_id: EntryId, trial: Trial, now_s: float) -> None:
-        held = self._trials.get(trial.fingerprint)
+    def _merge_probe(self, entry_id: EntryId, trial: Trial, now_s: float) -> None:
+        active = self._probes.get(trial.fingerprint)
         if trial.lasts_s <= 0:
-            if held is not None and held.entry_id == entry_id:
-                del self._trials[trial.fingerprint]
+            if active is not None and active.entry_id == entry_id:
+                del self._probes[trial.fingerprint]
             return
-        # Of two that begin at the same moment all know which goes on.
-        if held is None or held.ends_s <= now_s or entry_id <= held.entry_id:
+        # If two entries begin a probe at the same moment, the lower id wins everywhere.
+        if active is None or active.ends_s <= now_s or entry_id <= active.entry_id:
             ends_s = now_s + trial.lasts_s
-            self._trials[trial.fingerprint] = _Held(entry_id, trial.endpoint_id, ends_s)
+            self._probes[trial.fingerprint] = _ActiveProbe(
+                entry_id, trial.endpoint_id, ends_s
+            )
 
-    def _counts(self, evidence: Evidence) -> bool:
-        suspicion = self._known.get(evidence.fingerprint)
+    def _is_uncleared(self, evidence: Evidence) -> bool:
+        suspicion = self._suspects.get(evidence.fingerprint)
         return suspicion is not None and evidence.ending not in suspicion.forgiven
 
 
-def _free_in_s(suspicion: _Suspicion, now_s: float) -> float | None:
-    """When a request may be tried again; ``None`` for not by itself."""
-    over = len(suspicion.counted) - ENDINGS_TO_SHUT_OUT
-    if over < 0:
+def _quarantine_left_s(suspicion: _Suspicion, now_s: float) -> float | None:
+    """Time until a request may be probed; ``None`` if an operator must allow it."""
+    step = len(suspicion.uncleared) - ENDINGS_TO_SHUT_OUT
+    if step < 0:
         return 0.0
-    if over >= len(QUARANTINES_S):
+    if step >= len(QUARANTINES_S):
         return None
-    return suspicion.last_counted_s + QUARANTINES_S[over] - now_s
+    return suspicion.last_uncleared_s + QUARANTINES_S[step] - now_s
 
 
-def _is_old(suspicion: _Suspicion, now_s: float) -> bool:
-    if len(suspicion.counted) >= ENDINGS_TO_SHUT_OUT:
+def _is_expired(suspicion: _Suspicion, now_s: float) -> bool:
+    if len(suspicion.uncleared) >= ENDINGS_TO_SHUT_OUT:
         return False
-    return now_s - suspicion.last_s > SUSPECT_KEPT_S
+    return now_s - suspicion.last_change_s > SUSPECT_KEPT_S
 
 
-def _weight(suspicion: _Suspicion) -> tuple[int, float]:
-    return len(suspicion.counted), suspicion.last_s
+def _eviction_rank(suspicion: _Suspicion) -> tuple[int, float]:
+    return len(suspicion.uncleared), suspicion.last_change_s
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -199,9 +199,9 @@
         )
         book.heard(Findings(OTHER, trials=trials), False, 0.0)
         book.forget(4.0)
-        self.assertEqual(len(book._trials), 100)
+        self.assertEqual(len(book._probes), 100)
         book.forget(6.0)
-        self.assertEqual(len(book._trials), 0)
+        self.assertEqual(len(book._probes), 0)
 
     def test_thousands_under_suspicion_leave_the_weightiest(self) -> None:
         book = _book(3)
