--- a/src/celerytrack/findings.py
+++ b/src/celerytrack/findings.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of requests that end endpoints."""
+"""Evidence about requests that crash endpoints, as entries exchange it."""
 
 import attrs
 
@@ -8,10 +8,11 @@
 
 @attrs.frozen
 class Ending:
-    """One start of an endpoint ended while it ran requests.
+    """One process of an endpoint crashed while it ran requests.
 
-    :ivar born_ms: tells starts under one id apart; 0 if not told.
-    :ivar build: the service and the version of its software.
+    :ivar born_ms: start time of the process, which tells restarts under one id apart;
+        0 if unknown.
+    :ivar build: service and software version.
     """
 
     endpoint_id: EndpointId
@@ -21,7 +22,7 @@
 
 @attrs.frozen
 class Evidence:
-    """An endpoint ended while it ran a request."""
+    """A request was running when an endpoint crashed."""
 
     fingerprint: Fingerprint
     ending: Ending
@@ -29,9 +30,9 @@
 
 @attrs.frozen
 class Trial:
-    """An entry tries a request alone.
+    """An entry sends a suspected request to one endpoint, apart from other suspects.
 
-    :ivar lasts_s: how much longer it may last.
+    :ivar lasts_s: how much longer the probe may last; 0 if it is over.
     """
 
     fingerprint: Fingerprint
@@ -41,13 +42,13 @@
 
 @attrs.frozen
 class Findings:
-    """What an entry tells the others, in a note or in its record.
+    """What an entry reports to the others, in a note or in its record.
 
-    :ivar seen: evidence that it saw itself.
-    :ivar forgiven: evidence that counts no more, whoever saw it.
-    :ivar trials: its trials in progress.
-    :ivar seen_at_s: when it saw each evidence, in Unix seconds, for people; none in
-        notes.
+    :ivar seen: evidence that this entry observed.
+    :ivar forgiven: cleared evidence, of any entry.
+    :ivar trials: this entry's probes.
+    :ivar seen_at_s: when each item of ``seen`` was observed, in Unix seconds, for
+        operators; empty in notes.
     """
 
     entry_id: EntryId
@@ -58,5 +59,5 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it tells nothing."""
+        """Whether there is nothing to report."""
         return not (self.seen or self.forgiven or self.trials)
--- a/src/celerytrack/fingerprint.py
+++ b/src/celerytrack/fingerprint.py
@@ -1,11 +1,11 @@
-"""What makes two requests the same request, without I/O.
+"""Fingerprints that recognise a repeated request, without I/O.
 
-A request that comes again has a new id. It is the same one if method, host, path,
-query, caller and body are the same. Headers don't count: they name the attempt, its
-deadline and where a broken stream goes on.
+A repeated request has a new request id. Two requests are the same if method, host,
+path, query, caller and body are equal. Headers are left out: they carry the attempt id,
+the deadline and the position at which a broken stream resumes.
 
-A fingerprint has two halves. The first covers all but the bytes of the body, so that
-most requests are told apart without reading theirs.
+A fingerprint has two parts. The first covers everything but the bytes of the body, so
+that most requests are told apart without hashing the body.
 """
 
 import hashlib
@@ -17,21 +17,21 @@
 
 PLACE_BYTES = 6
 BODY_BYTES = 10
-"""Two requests of one caller at one path differ in the body alone: 80 bits tell more
-bodies apart than will ever be sent."""
+"""Requests of one caller to one path differ only in the body. 80 bits make a collision
+among all bodies ever sent unlikely."""
 
 Place = NewType("Place", bytes)
-"""Where a request goes, from whom and how long its body is."""
+"""Digest of everything but the body's bytes: destination, caller and body length."""
 Fingerprint = NewType("Fingerprint", bytes)
-"""A :data:`Place` and the digest of a body."""
+"""A :data:`Place`, followed by the digest of the body."""
 
 
 @attrs.frozen
 class RequestLine:
-    """A request but for the bytes of its body.
+    """A request without the bytes of its body.
 
-    :ivar path: with its query, as the caller wrote it.
-    :ivar account: who sends it; ``None`` where nobody is asked for a key.
+    :ivar path: path and query, as sent by the caller.
+    :ivar account: account of the caller; ``None`` on routes that require no key.
     """
 
     method: str
@@ -42,20 +42,20 @@
 
 
 def place_of(line: RequestLine) -> Place:
-    """The first half of a request's fingerprint."""
-    # Lengths go before the texts: no two lines may read the same when joined.
+    """The first part of the fingerprint of a request."""
+    # Length prefixes keep different fields from joining to the same text.
     texts = (line.method, line.host, line.path, line.account or "")
     joined = "".join(f"{len(text)}:{text}" for text in texts)
-    known = f"{joined}{line.body_bytes}".encode(errors="surrogateescape")
-    return Place(hashlib.blake2b(known, digest_size=PLACE_BYTES).digest())
+    data = f"{joined}{line.body_bytes}".encode(errors="surrogateescape")
+    return Place(hashlib.blake2b(data, digest_size=PLACE_BYTES).digest())
 
 
 def fingerprint_of(place: Place, body: bytes) -> Fingerprint:
-    """The fingerprint of the request at ``place`` with ``body``."""
+    """The fingerprint that begins with ``place`` and covers ``body``."""
     digest = hashlib.blake2b(body, digest_size=BODY_BYTES).digest()
     return Fingerprint(place + digest)
 
 
 def place_in(fingerprint: Fingerprint) -> Place:
-    """The first half of ``fingerprint``."""
+    """The first part of ``fingerprint``."""
     return Place(fingerprint[:PLACE_BYTES])
--- a/src/celerytrack/suspect_logs.py
+++ b/src/celerytrack/suspect_logs.py
@@ -1,4 +1,4 @@
-"""Log lines on requests that end endpoints, the same of both interfaces."""
+"""Log lines about requests that crash endpoints, shared by both interfaces."""
 
 import logging
 
@@ -7,7 +7,7 @@
 
 
 def log_shut_out(logger: logging.Logger, suspect: Suspect) -> None:
-    """Say that no endpoint gets a request, since when endings count and till when."""
+    """Log that a request is quarantined, after which crashes and for how long."""
     log_event(
         logger,
         Event.SUSPECT_SHUT_OUT,
