--- a/src/celerytrack/endpoint.py
+++ b/src/celerytrack/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as an entry sees it, and what a request needs of one."""
+"""State of one endpoint as an entry sees it, and requests to endpoints."""
 
 import math
 from collections import OrderedDict
@@ -8,27 +8,27 @@
 from celerytrack.ids import EndpointId, ServiceName, Zone
 
 SERVICE_S = 0.03
-"""What a plain call takes until an endpoint's own time is learned."""
+"""Assumed latency of a plain call until an endpoint has answered some."""
 LATENCY_GAIN = 0.1
-"""Weight of the newest answer in an endpoint's learned time."""
+"""Weight of the newest answer in the moving averages of latency and slowness."""
 SLOWNESS_RANGE = (0.3, 10.0)
 CACHE_PARTS = 2048
-"""Prompt parts remembered per engine: several times what one keeps, so this bounds
-memory, not knowledge."""
+"""Prompt parts remembered per engine. An engine caches several times fewer, so the
+limit bounds memory without hiding cached parts."""
 CACHE_KEPT_S = 20.0
-"""A part not used for this long may have yielded to others."""
+"""A part that was not used for this long may have been evicted by the engine."""
 
 
 @attrs.frozen
 class Registration:
-    """What an endpoint registered of itself.
+    """The registration record of an endpoint.
 
     :ivar slots: requests it runs at once.
-    :ivar cold_s: how much longer it stays slow after its start.
-    :ivar born_ms: when this start of it began, in Unix milliseconds; it may start
-        again under its id, and knows nothing of before then. 0 if not told.
-    :ivar sequence: grows with each record of one start.
-    :ivar version: of its software; empty if not told.
+    :ivar cold_s: remaining warm-up time, in which it is slow.
+    :ivar born_ms: start time of its process, in Unix milliseconds; 0 if unknown. An
+        endpoint may restart under its id, with an empty cache.
+    :ivar sequence: grows with each record of one process.
+    :ivar version: software version; empty if unknown.
     """
 
     endpoint_id: EndpointId
@@ -44,30 +44,30 @@
 
     @property
     def build(self) -> str:
-        """The service and the version of its software."""
+        """Service and software version."""
         return f"{self.service} {self.version}"
 
     @property
     def numbered(self) -> bool:
-        """Whether the records of this endpoint tell their order."""
+        """Whether records of this endpoint can be put in order."""
         return (self.born_ms, self.sequence) != (0, 0)
 
     def older_than(self, other: "Registration") -> bool:
-        """Whether ``other`` was written after this record, of the same id.
+        """Whether ``other``, a record of the same id, was written after this one.
 
-        A record may arrive behind a later one. Of an older start it would send
-        work to a process that is gone; of the same start it would make an
-        endpoint that has said it leaves look ready again.
+        Records may arrive out of order. A late record of an earlier process would
+        direct requests to a process that is gone. A late record of the same process
+        would make a draining endpoint look ready.
         """
         return (self.born_ms, self.sequence) < (other.born_ms, other.sequence)
 
 
 @attrs.frozen
 class Need:
-    """What a request needs of an endpoint.
+    """The service and the prompt of a request, by which an endpoint is chosen.
 
     :ivar parts: ``(key, tokens)`` of the prompt's parts, in order; a key
-        stands for the part and all before it.
+        identifies the part and all parts before it.
     """
 
     service: ServiceName
@@ -75,7 +75,7 @@
 
     @property
     def own_tokens(self) -> int:
-        """Tokens of the part that no other request shares."""
+        """Tokens of the last part, which no other request shares."""
         return self.parts[-1][1] if self.parts else 0
 
     @property
@@ -85,7 +85,7 @@
 
     @property
     def session(self) -> str:
-        """What decides the home engine: the last part that others share."""
+        """Key of the last shared part; it determines the home engine."""
         if not self.parts:
             return ""
         return self.parts[-2][0] if len(self.parts) > 1 else self.parts[0][0]
@@ -95,14 +95,17 @@
 class Endpoint:
     """One endpoint as this entry sees it.
 
-    :ivar running: requests this entry has there.
-    :ivar unread_s: engine time of the prompts this entry sent that are not read.
-    :ivar noted_s: engine time of the prompts that other entries told of, as far
-        as they were not read at ``noted_at_s``.
-    :ivar latency_s: learned time of a plain call.
-    :ivar slowness: learned ratio of first tokens to predicted ones.
-    :ivar cold_until_s: until when it is slow after its start.
-    :ivar failing: learned share of failed answers.
+    :ivar running: requests of this entry in progress there.
+    :ivar unread_s: engine time to prefill the pending prompts of this entry.
+    :ivar noted_s: engine time to prefill the pending prompts of other entries, as of
+        ``noted_at_s``.
+    :ivar latency_s: moving average of the latency of plain calls.
+    :ivar slowness: moving average of measured over predicted time to first token.
+    :ivar cold_until_s: end of its warm-up.
+    :ivar failing: moving average of the share of failed answers.
+    :ivar failures: connection failures since the last success.
+    :ivar avoided_until_s: until when it is ejected.
+    :ivar gone_at_s: when its registration disappeared; ``None`` while it is registered.
     """
 
     registration: Registration
@@ -117,49 +120,52 @@
     failures: int = 0
     avoided_until_s: float = 0.0
     gone_at_s: float | None = None
-    _parts: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
+    _cached_parts: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
 
     @property
     def endpoint_id(self) -> EndpointId:
-        """The id of this start of the endpoint."""
         return self.registration.endpoint_id
 
     def note(self, work_s: float, now_s: float) -> None:
-        """Another entry sent a prompt here that takes ``work_s`` to read."""
+        """Count a prompt of another entry that takes ``work_s`` to prefill."""
         self.noted_s = self.noted_unread_s(now_s) + work_s
         self.noted_at_s = now_s
 
     def noted_unread_s(self, now_s: float) -> float:
-        """Engine time of other entries' prompts that are probably not read yet."""
-        read_s = (now_s - self.noted_at_s) / self.slowness
-        return max(0.0, self.noted_s - read_s)
+        """Estimated engine time for the pending prompts of other entries."""
+        prefilled_s = (now_s - self.noted_at_s) / self.slowness
+        return max(0.0, self.noted_s - prefilled_s)
 
     def unread(self, need: Need, at_home: bool, now_s: float) -> int:
-        """Tokens of the prompt that this engine would have to read."""
-        kept = len(need.parts) - 1 if at_home else 0
+        """Tokens of the prompt that this engine would have to prefill.
+
+        :param at_home: whether the engine is the session's home, which has all shared
+            parts in its cache.
+        """
+        shared = len(need.parts) - 1 if at_home else 0
         tokens = 0
         missing = False
         for i, (key, size) in enumerate(need.parts):
-            known = now_s - self._parts.get(key, -math.inf) < CACHE_KEPT_S
-            missing = missing or not (known or i < kept)
+            cached = now_s - self._cached_parts.get(key, -math.inf) < CACHE_KEPT_S
+            missing = missing or not (cached or i < shared)
             tokens += size if missing else 0
         return tokens
 
     def touch(self, need: Need, now_s: float) -> None:
-        """The prompt was read here."""
+        """Record that the engine has the prompt in its cache."""
         for key, _ in need.parts:
-            self._parts[key] = now_s
-            self._parts.move_to_end(key)
-        while len(self._parts) > CACHE_PARTS:
-            self._parts.popitem(last=False)
+            self._cached_parts[key] = now_s
+            self._cached_parts.move_to_end(key)
+        while len(self._cached_parts) > CACHE_PARTS:
+            self._cached_parts.popitem(last=False)
 
 
 @attrs.frozen
 class Choice:
-    """An endpoint chosen for a request, and what decided it.
+    """An endpoint chosen for a request, with the predictions for it.
 
-    :ivar predicted_s: time to the first piece of the answer.
-    :ivar work_s: engine time to read its prompt, less what is kept there.
+    :ivar predicted_s: time to the first output.
+    :ivar work_s: engine time to prefill the uncached part of the prompt.
     """
 
     endpoint: Endpoint
@@ -169,10 +175,10 @@
 
 @attrs.define
 class Sent:
-    """One request at an endpoint, until it ends.
+    """One request sent to an endpoint.
 
-    :ivar work_s: engine time to read its prompt.
-    :ivar read: whether its prompt was read.
+    :ivar work_s: engine time to prefill its prompt.
+    :ivar read: whether its prompt was prefilled.
     """
 
     endpoint: Endpoint
@@ -183,27 +189,30 @@
     ended: bool = False
 
     def answered(self, now_s: float) -> None:
-        """The first piece of the answer came."""
+        """Record the arrival of the first output."""
         endpoint = self.endpoint
-        self._was_read()
+        self._finish_prefill()
         ratio = (now_s - self.at_s) / max(self.predicted_s, 1e-3)
         low, high = SLOWNESS_RANGE
         ratio = min(max(ratio, low), high)
         endpoint.slowness += LATENCY_GAIN * (ratio - endpoint.slowness)
 
     def end(self, now_s: float, plain: bool) -> None:
-        """The request ended here, well or not."""
+        """Record the end of the request, successful or not.
+
+        :param plain: whether the request has no prompt; only then its latency counts.
+        """
         if self.ended:
             return
         self.ended = True
         endpoint = self.endpoint
         endpoint.running -= 1
-        self._was_read()
+        self._finish_prefill()
         if plain:
             took_s = min(now_s - self.at_s, 1.0)
             endpoint.latency_s += LATENCY_GAIN * (took_s - endpoint.latency_s)
 
-    def _was_read(self) -> None:
+    def _finish_prefill(self) -> None:
         if not self.read:
             self.read = True
             self.endpoint.unread_s -= self.work_s
