--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -1,14 +1,14 @@
-"""Which endpoint a request is sent to, without I/O.
+"""Choice of the endpoint for a request, without I/O.
 
-Every entry sees only its own share of the work. It assumes that the others
-choose as it does, so what it has running at an endpoint stands for as many times
-more as the fleet does more work than this entry (``load_times``).
+An entry sees only its own share of the load. It assumes that the other entries choose
+as it does, and multiplies its own requests at an endpoint by the ratio of the fleet's
+load to its own (``load_times``).
 
-Prompts share parts. A part is read once and then kept by the engine, so that
-requests of one session should meet at one engine, whichever entry they come
-through. All entries rank the engines of a session by the same rendezvous
-hash and so agree on its *home* and its second home without a message; they
-leave these only when another engine's predicted first token is much earlier.
+Prompts share parts. An engine prefills a shared part once and then has it in its cache,
+so all requests of a session should go to one engine, through whichever entry they come.
+All entries rank the engines for a session by the same rendezvous hash. They therefore
+agree on its *home* and second home without messages, and use another engine only if its
+predicted first token is much earlier.
 """
 
 import enum
@@ -25,65 +25,69 @@
 from celerytrack.routing import rendezvous_weight
 
 RUNNING_S = 0.00015
-"""What each running request adds to an engine's first token: its part of the
-few steps until then."""
+"""Time that each running request adds to the time to first token: its part of the few
+decoding steps until then."""
 STEP_S = 0.01
-"""An engine's first token beyond reading the prompt: two steps and the way."""
+"""Time to first token beyond the prefill: two engine steps and the network round
+trip."""
 LEAVE_HOME_TIMES = 7.0
-"""How much more a token of a shared part counts where it is not kept: reading
-it takes memory from other sessions there, and the next request of the session
-goes home again."""
+"""Weight of an uncached token of a shared part at an engine that is not the home. Its
+prefill evicts parts of other sessions there, and the session's next request goes to
+the home again."""
 SECOND_HOME_TIMES = 3.0
-"""The same at the second home, where all entries send what the home has no time
-for: by then it is probably kept there too, and nowhere else."""
+"""The same weight at the second home. All entries send the overflow of the home there,
+so that the part is probably cached at the second home, and at no other engine."""
 COLD_TIMES = 1.6
-"""How much longer an endpoint takes until it is warm: a guess, in the middle of
-what caches of compiled code and data cost; its own answers correct it."""
+"""Factor on the predicted time of an endpoint that is warming up. It is in the middle
+of what cold caches of compiled code and data cost; the endpoint's answers correct
+it."""
 OTHER_ZONE_S = 0.004
-"""What another failure domain adds: the way there and back, and the price of
-bytes between domains."""
+"""Cost of an endpoint in another failure domain: the network round trip, and the price
+of traffic between domains."""
 EJECT_S = 0.4
-"""First pause after an endpoint failed to connect or answer."""
+"""Ejection time after the first failed connection or missing answer; it doubles with
+each further failure."""
 EJECT_MAX_S = 5.0
-"""Longest pause: a replaced endpoint has a new id, so a long one only keeps
-away an endpoint that came back."""
+"""Longest ejection. A replaced endpoint has a new id, so a longer ejection would only
+delay the return of an endpoint that has recovered."""
 FAILURE_GAIN = 0.15
-"""Weight of the newest answer in an endpoint's share of failures."""
+"""Weight of the newest answer in the moving average of an endpoint's failure rate."""
 GREY_SHARE = 0.35
-"""An endpoint that fails more than this share of its answers, and more than
-:data:`GREY_TIMES` the share of its service, is avoided though it looks well."""
+"""Failure rate that ejects an endpoint which accepts connections (grey failure), if it
+is also more than :data:`GREY_TIMES` the average rate of the service's other
+endpoints."""
 GREY_TIMES = 2.0
 GREY_S = 2.0
-"""How long a grey endpoint is avoided before one request tries it again."""
+"""Ejection time after a grey failure, until a request tries the endpoint again."""
 GONE_GRACE_S = 1.5
-"""An endpoint whose registration lapsed takes work for this long if its
-service has no other: registrations lapse when the store is away and are back
-within two seconds, and an endpoint that left serves on for two."""
+"""How long an endpoint without registration is still used if its service has no other.
+Registrations expire while the store is unreachable and are written again within two
+seconds; an endpoint that has left keeps serving for two seconds."""
 FORGOTTEN_MOST = 1_024
-"""Endpoints that left of which the last record is remembered, so that an older
-one that lands late does not bring them back."""
+"""Removed endpoints whose last record is kept, so that an older record that arrives
+late does not register them again."""
 ENDED_S = 4.0
-"""How long an endpoint whose process ended is avoided: its registration stands until
-some heartbeats are missed, and each request sent there loses a connection's time."""
+"""Ejection time after a crash. The registration stays until some heartbeats are missed,
+and each request sent there loses the time of a failed connection."""
 QUEUE_TIMES = 4.0
-"""Work beyond this many times an endpoint's slots is not sent to it."""
+"""Most requests of all entries at an endpoint, as a multiple of its slots."""
 
 
 class Registered(enum.Enum):
-    """What a registration changed."""
+    """Effect of a registration record."""
 
     NEW = "new"
     STARTED_AGAIN = "started_again"
-    """Another process has the id now, which knows nothing of before."""
+    """Another process has the id now, with an empty cache."""
     CHANGED = "changed"
-    """It leaves, or takes work again."""
+    """The endpoint began or ended draining."""
     SAME = "same"
     STALE = "stale"
-    """A later record of it was seen; this one counts for nothing."""
+    """A later record was read before; this one is ignored."""
 
 
 class EndpointBook:
-    """All endpoints known, and the choice among them.
+    """The known endpoints, and the choice among them.
 
     :param zone: the failure domain of this entry.
     """
@@ -92,14 +96,14 @@
         self._zone = zone
         self._rng = rng
         self._endpoints: dict[EndpointId, Endpoint] = {}
-        self._forgotten: LRUCache[EndpointId, Registration] = LRUCache(FORGOTTEN_MOST)
+        self._tombstones: LRUCache[EndpointId, Registration] = LRUCache(FORGOTTEN_MOST)
         self.restores = RestoredRecords()
 
     def register(self, registration: Registration, now_s: float) -> Registered:
-        """Take a registration as read at ``now_s``."""
+        """Apply a registration record that was read at ``now_s``."""
         known = self._endpoints.get(registration.endpoint_id)
         last = known.registration if known else None
-        last = last or self._forgotten.get(registration.endpoint_id)
+        last = last or self._tombstones.get(registration.endpoint_id)
         if last is not None and self.restores.outdated(registration, last):
             return Registered.STALE
         self.restores.written(registration.endpoint_id)
@@ -107,9 +111,9 @@
             self._add(registration, now_s)
             return Registered.NEW
         if 0 < known.registration.born_ms < registration.born_ms:
-            # What was learned and kept belongs to a process that is gone: parts
-            # of prompts counted as kept would be read anew, unexpected. Requests
-            # of before hold the endpoint of before and end there.
+            # The statistics and cached parts belong to a process that is gone. Parts
+            # counted as cached would need an unpredicted prefill. Earlier requests
+            # refer to the old object and finish there.
             self._add(registration, now_s)
             return Registered.STARTED_AGAIN
         changed = known.registration.draining is not registration.draining
@@ -118,10 +122,10 @@
         return Registered.CHANGED if changed else Registered.SAME
 
     def restored(self) -> None:
-        """The log came back from a copy: who is gone by now comes back by a newer
-        record only."""
+        """Handle a log restored from an older copy: endpoints that are gone by now
+        register again only with a newer record."""
         gone = (i for i, e in self._endpoints.items() if e.gone_at_s is not None)
-        self.restores.came_back({*gone, *self._forgotten})
+        self.restores.came_back({*gone, *self._tombstones})
 
     def _add(self, registration: Registration, now_s: float) -> None:
         endpoint = Endpoint(registration)
@@ -129,43 +133,45 @@
         self._endpoints[registration.endpoint_id] = endpoint
 
     def dropped(self, endpoint_id: EndpointId, now_s: float) -> None:
-        """The registration of an endpoint is no longer there."""
+        """Record that the registration of an endpoint disappeared."""
         known = self._endpoints.get(endpoint_id)
         if known is not None and known.gone_at_s is None:
             known.gone_at_s = now_s
 
     def disowned(self, endpoint_id: EndpointId, now_s: float) -> None:
-        """The newest record of an endpoint is none: it gets no work at once, not
-        even where its service has no other."""
+        """Record that the newest record of an endpoint is unusable.
+
+        It gets no more requests, even if its service has no other endpoint.
+        """
         self.dropped(endpoint_id, now_s - GONE_GRACE_S)
 
     def ended(self, endpoint_id: EndpointId, now_s: float) -> None:
-        """The process of an endpoint ended, as far as one entry could see."""
+        """Eject an endpoint whose process crashed, as observed by some entry."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
             avoided_until_s = max(known.avoided_until_s, now_s + ENDED_S)
             known.avoided_until_s = avoided_until_s
 
     def takes_work(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint that was chosen is still to be sent to."""
-        leaves = endpoint.registration.draining or endpoint.gone_at_s is not None
-        return not leaves and not self.superseded(endpoint)
+        """Whether an endpoint that was chosen earlier still accepts requests."""
+        is_leaving = endpoint.registration.draining or endpoint.gone_at_s is not None
+        return not is_leaving and not self.superseded(endpoint)
 
     def superseded(self, endpoint: Endpoint) -> bool:
-        """Whether another start has the id of ``endpoint``."""
+        """Whether a newer process has the id of ``endpoint``."""
         known = self._endpoints.get(endpoint.endpoint_id)
         return known is not None and known is not endpoint
 
     def builds(self, service: ServiceName, now_s: float) -> set[str]:
-        """The builds of the endpoints of ``service`` that take work."""
-        return {e.registration.build for e in self._usable(service, now_s)}
+        """The builds of the available endpoints of ``service``."""
+        return {e.registration.build for e in self._candidates(service, now_s)}
 
     def ids(self) -> list[EndpointId]:
-        """The endpoints whose registration stands."""
+        """The ids of the registered endpoints."""
         return [i for i, e in self._endpoints.items() if e.gone_at_s is None]
 
     def forget_gone(self, now_s: float) -> list[Endpoint]:
-        """Forget endpoints gone for good; returns them."""
+        """Remove and return endpoints that lost their registration and are idle."""
         gone = [
             e
             for e in self._endpoints.values()
@@ -175,7 +181,7 @@
         ]
         for endpoint in gone:
             del self._endpoints[endpoint.endpoint_id]
-            self._forgotten[endpoint.endpoint_id] = endpoint.registration
+            self._tombstones[endpoint.endpoint_id] = endpoint.registration
         return gone
 
     def choose(
@@ -188,29 +194,33 @@
     ) -> Choice | None:
         """The endpoint with the earliest predicted answer.
 
-        :param load_times: how many times the work of this entry the fleet does.
-        :param max_connections: connections one endpoint takes from all.
-        :param avoid: endpoints that this request was sent to before.
-        :returns: ``None`` if none has room.
+        :param load_times: ratio of the fleet's load to the load of this entry.
+        :param max_connections: connections that one endpoint accepts from all entries.
+        :param avoid: endpoints that must not be chosen.
+        :returns: ``None`` if no endpoint has capacity.
         """
-        usable = [e for e in self._usable(need.service, now_s) if self._open(e, avoid)]
-        room = [e for e in usable if _has_room(e, load_times, max_connections)]
-        if not room:
+        usable = [
+            e
+            for e in self._candidates(need.service, now_s)
+            if self._is_allowed(e, avoid)
+        ]
+        available = [e for e in usable if _has_capacity(e, load_times, max_connections)]
+        if not available:
             return None
         homes = self._homes(need, usable)
-        sound = [e for e in room if now_s >= e.avoided_until_s] or room
+        healthy = [e for e in available if now_s >= e.avoided_until_s] or available
 
         costs = [
             (self._predict(e, need, homes, load_times, now_s), self._rng.random(), i)
-            for i, e in enumerate(sound)
+            for i, e in enumerate(healthy)
         ]
         predicted_s, _, index = min(costs)
-        best = sound[index]
+        best = healthy[index]
         unread = best.unread(need, _is_home(best, homes), now_s)
         return Choice(best, predicted_s, prefill_s(unread, need.prompt_tokens))
 
     def send(self, choice: Choice, need: Need, now_s: float) -> Sent:
-        """Count a request that is sent to the endpoint chosen now."""
+        """Count a request that is now sent to the chosen endpoint."""
         endpoint = choice.endpoint
         endpoint.running += 1
         endpoint.unread_s += choice.work_s
@@ -218,41 +228,43 @@
         return Sent(endpoint, now_s, choice.predicted_s, choice.work_s)
 
     def note(self, endpoint_id: EndpointId, work_s: float, now_s: float) -> None:
-        """Another entry sent a prompt to an endpoint that takes ``work_s``."""
+        """Count a prompt of another entry that takes ``work_s`` to prefill."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
             known.note(work_s, now_s)
 
     def succeeded(self, endpoint: Endpoint) -> None:
-        """An answer came and was good."""
+        """Record a successful answer."""
         endpoint.failures = 0
         endpoint.failing -= FAILURE_GAIN * endpoint.failing
 
     def failed(self, endpoint: Endpoint, hard: bool, now_s: float) -> None:
-        """An answer failed.
+        """Record a failed answer.
 
-        :param hard: it did not connect, broke off or stayed silent, rather
-            than answer that it failed; the next request would fare no better.
+        :param hard: whether the connection failed, broke or timed out, so that the next
+            request would fail too; otherwise the endpoint answered with an error.
         """
         endpoint.failing += FAILURE_GAIN * (1 - endpoint.failing)
         if hard:
             endpoint.failures += 1
             pause_s = min(EJECT_S * 2 ** (endpoint.failures - 1), EJECT_MAX_S)
             endpoint.avoided_until_s = now_s + pause_s
-        elif endpoint.failing > max(GREY_SHARE, GREY_TIMES * self._failing(endpoint)):
+        elif endpoint.failing > max(
+            GREY_SHARE, GREY_TIMES * self._peer_failure_rate(endpoint)
+        ):
             endpoint.avoided_until_s = now_s + GREY_S
 
     # -- internals ---------------------------------------------------------
 
-    def _usable(self, service: ServiceName, now_s: float) -> list[Endpoint]:
+    def _candidates(self, service: ServiceName, now_s: float) -> list[Endpoint]:
         known = [
             e
             for e in self._endpoints.values()
             if e.registration.service == service and not e.registration.draining
         ]
-        standing = [e for e in known if e.gone_at_s is None]
-        if standing:
-            return standing
+        registered = [e for e in known if e.gone_at_s is None]
+        if registered:
+            return registered
         return [
             e
             for e in known
@@ -260,11 +272,11 @@
         ]
 
     @staticmethod
-    def _open(endpoint: Endpoint, avoid: Sequence[EndpointId]) -> bool:
+    def _is_allowed(endpoint: Endpoint, avoid: Sequence[EndpointId]) -> bool:
         return endpoint.endpoint_id not in avoid
 
     def _homes(self, need: Need, usable: Iterable[Endpoint]) -> list[Endpoint]:
-        """Where all entries send the session: its home, then its second home."""
+        """The home of the session and its second home, the same at all entries."""
         if not need.parts:
             return []
         session = need.session
@@ -282,25 +294,27 @@
     ) -> float:
         slots = max(1, endpoint.registration.slots)
         running = endpoint.running * load_times
-        away_s = 0.0 if endpoint.registration.zone == self._zone else OTHER_ZONE_S
-        waiting = max(0.0, running / slots - 1.0)
-        cold_times = COLD_TIMES if now_s < endpoint.cold_until_s else 1.0
+        cross_zone_s = 0.0 if endpoint.registration.zone == self._zone else OTHER_ZONE_S
+        excess_load = max(0.0, running / slots - 1.0)
+        cold_factor = COLD_TIMES if now_s < endpoint.cold_until_s else 1.0
         if not need.parts:
-            busy = 1.0 + running / slots + waiting
-            seconds = endpoint.latency_s * busy * (1 + endpoint.failing) + away_s
-            return cold_times * seconds
+            busy_factor = 1.0 + running / slots + excess_load
+            seconds = (
+                endpoint.latency_s * busy_factor * (1 + endpoint.failing) + cross_zone_s
+            )
+            return cold_factor * seconds
         rank = homes.index(endpoint) if endpoint in homes else len(homes)
         unread = endpoint.unread(need, _is_home(endpoint, homes), now_s)
-        times = SECOND_HOME_TIMES if rank == 1 else LEAVE_HOME_TIMES
-        shared = max(0, unread - need.own_tokens) * (times - 1)
+        factor = SECOND_HOME_TIMES if rank == 1 else LEAVE_HOME_TIMES
+        shared = max(0, unread - need.own_tokens) * (factor - 1)
         seconds = prefill_s(unread, need.prompt_tokens) + running * RUNNING_S + STEP_S
         seconds += shared / PREFILL_TOKENS_PER_S
         seconds += endpoint.unread_s + endpoint.noted_unread_s(now_s)
-        seconds += waiting * 0.5
-        seconds = endpoint.slowness * seconds * (1 + endpoint.failing) + away_s
-        return cold_times * seconds
+        seconds += excess_load * 0.5
+        seconds = endpoint.slowness * seconds * (1 + endpoint.failing) + cross_zone_s
+        return cold_factor * seconds
 
-    def _failing(self, endpoint: Endpoint) -> float:
+    def _peer_failure_rate(self, endpoint: Endpoint) -> float:
         peers = [
             e.failing
             for e in self._endpoints.values()
@@ -311,12 +325,12 @@
 
 
 def _is_home(endpoint: Endpoint, homes: Sequence[Endpoint]) -> bool:
-    """Whether all entries send the session there, so that its parts are kept."""
+    """Whether ``endpoint`` is the session's home, which caches its shared parts."""
     return bool(homes) and endpoint is homes[0]
 
 
-def _has_room(endpoint: Endpoint, load_times: float, max_connections: int) -> bool:
-    share = max(2.0, max_connections / load_times)
+def _has_capacity(endpoint: Endpoint, load_times: float, max_connections: int) -> bool:
+    connection_limit = max(2.0, max_connections / load_times)
     slots = endpoint.registration.slots
-    queue = max(4.0, QUEUE_TIMES * slots / load_times)
-    return endpoint.running < min(share, queue)
+    queue_limit = max(4.0, QUEUE_TIMES * slots / load_times)
+    return endpoint.running < min(connection_limit, queue_limit)
