--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -1,9 +1,9 @@
-"""Which entries are alive, and which of them callers are told, without I/O.
+"""Membership of the fleet and the addresses given to callers, without I/O.
 
-Each entry writes its :class:`Member` row again and again
-(:mod:`celerytrack.row_pace`). One whose row has not been renewed for some beats is left
-out of address answers, but only while this entry can read the log: when the log is
-away, nobody's row is renewed, and the last view stands.
+Each entry renews its :class:`Member` row as a heartbeat (:mod:`celerytrack.row_pace`).
+An entry that misses some heartbeats is left out of address answers, but only while this
+entry can read the log. While the log is unreachable no row is renewed, and the last
+view stays valid.
 """
 
 import collections
@@ -19,34 +19,35 @@
 from celerytrack.row_pace import beat_interval_s
 
 SILENT_BEATS = 3.5
-"""An entry is silent after this many intervals: one row may be lost and the
-next be late."""
+"""Heartbeat intervals after which an entry counts as silent: one row may be lost and
+the next may be late."""
 SILENT_LEAST_S = 3.5
-"""Shortest silence that counts: an instance whose share of a processor is used
-up, or that is slowed, still serves its callers between late rows."""
+"""Shortest time without a row after which an entry counts as silent. An instance that
+has used up its CPU quota, or is throttled, still serves callers between late rows."""
 DEFAULT_TTL_S = 1.0
-"""How long callers keep an address answer: a leaving entry is out of the
-answers within a second and out of sight a second later, after three for callers
-that keep answers three times as long."""
+"""How long callers cache an address answer. A leaving entry is out of the answers
+within one second and out of the callers' caches one second later; three seconds later
+for callers that cache answers three times as long."""
 MAX_ADDRESSES = 64
-"""Addresses that one answer may hold."""
+"""Most addresses in one answer."""
 BUSY_SHARE = 0.1
-"""An entry that spends more than this part of what each told entry does has callers of
-its own, though callers are told of others: a large account's may keep to an entry."""
+"""An entry whose spending rate exceeds this share of the mean rate of the advertised
+entries has callers, even if its address is not advertised: the callers of a large
+account may stay with one entry."""
 DIVISION_S = 0.05
-"""How long a :class:`Division` is used again: rows come no faster, and in a fleet of
-hundreds each request would otherwise look at every row."""
+"""How long a :class:`Division` is cached. Rows arrive no faster, and in a fleet of
+hundreds of entries each request would otherwise scan every row."""
 
 
 @attrs.frozen
 class Division:
     """How the callers are divided among the entries.
 
-    :ivar entries: entries alive, this one included.
-    :ivar sharers: the other entries that have a part of them worth counting.
-    :ivar takes_callers: whether this entry has one.
-    :ivar load_times: how many times the work of this entry the fleet does, as far as
-        known: ``taking``, or less for one through which much of it comes.
+    :ivar entries: number of live entries, including this one.
+    :ivar sharers: the other live entries that serve callers.
+    :ivar takes_callers: whether this entry serves callers.
+    :ivar load_times: estimated ratio of the fleet's load to the load of this entry:
+        ``taking``, or less for an entry with more than an equal share of the load.
     """
 
     entries: int
@@ -56,208 +57,221 @@
 
     @property
     def taking(self) -> int:
-        """Among how many entries the callers are divided, this one included."""
+        """Number of entries that serve callers, counting this one."""
         return len(self.sharers) + 1
 
     @property
     def allowances(self) -> int:
-        """Into how many parts like this entry's what all may do together is divided:
-        rows a second, retries."""
+        """Number of equal shares into which fleet-wide limits are divided, such as rows
+        per second and retries."""
         return self.taking if self.takes_callers else self.entries
 
     @property
     def parts(self) -> float:
-        """Into how many parts like this entry's an account is divided until it is known
-        who spends it. An entry without callers has none: what hundreds of them hold of
-        an account nobody can spend, and a loss of power takes it."""
+        """Number of equal shares into which an account's tokens are divided until it is
+        known which entries spend them.
+
+        An entry without callers gets no share: nobody could spend the tokens that
+        hundreds of such entries hold, and a power loss would lose them.
+        """
         return self.taking if self.takes_callers else math.inf
 
 
 FEWEST_WITNESSES = 2
-"""Other entries that must be there to hold a clock against."""
+"""Smallest number of other entries for a comparison of clocks."""
 
 
-def _silent_s(entries: int) -> float:
+def _silence_limit_s(entries: int) -> float:
     return max(SILENT_LEAST_S, beat_interval_s(entries) * SILENT_BEATS)
 
 
 PROMPT_ROWS = 3
-"""Rows of an entry of which the one read most promptly tells of its clock. The
-first is read at the start and may be old; one that lands as an outage ends may
-have been made seconds before."""
+"""Last rows of an entry, of which the one with the shortest delay is used to compare
+clocks. The first row is read at the start and may be old; a row that lands as an outage
+ends may have been made seconds before."""
 
 
 @attrs.define
-class _Seen:
-    """The newest row of an entry, and how late its last rows were read: by this
-    entry's steady clock less the other's time of day."""
+class _KnownEntry:
+    """The newest row of an entry, when it was read, and the delays of its last rows.
+
+    :ivar delays_s: this entry's steady clock at the read less the other entry's time of
+        day when the row was made.
+    """
 
     member: Member
-    at_s: float
-    late_s: collections.deque[float] = attrs.field(
+    read_at_s: float
+    delays_s: collections.deque[float] = attrs.field(
         factory=lambda: collections.deque(maxlen=PROMPT_ROWS)
     )
 
 
 class MemberView:
-    """The entries as this one knows them.
+    """The entries of the fleet, as this entry knows them.
 
     :param me: this entry.
-    :param link_mbps: what its link carries.
+    :param link_mbps: capacity of this entry's network link.
     """
 
     def __init__(self, me: EntryId, link_mbps: float = 0.0) -> None:
         self.me = me
         self.link_mbps = link_mbps
-        self._seen: dict[EntryId, _Seen] = {}
-        self._leaving_s: dict[EntryId, float] = {}
-        self._read_at_s = float("-inf")
-        self._reading_since_s = float("inf")
+        self._entries: dict[EntryId, _KnownEntry] = {}
+        self._leaving_starts_s: dict[EntryId, float] = {}
+        self._last_read_s = float("-inf")
+        self._readable_since_s = float("inf")
         self._rates_tokens_per_s: dict[EntryId, int] = {}
-        self._divided = (float("-inf"), Division(1, (), True, 1.0))
+        self._cached_division = (float("-inf"), Division(1, (), True, 1.0))
 
     def fold(self, member: Member, now_s: float) -> None:
-        """Take a row that was read at ``now_s``."""
-        known = self.member(member.entry_id)
-        if known is not None and older_row(member, known):
+        """Apply a row that was read at ``now_s``."""
+        newest = self.member(member.entry_id)
+        if newest is not None and older_row(member, newest):
             return
-        seen = self._seen.setdefault(member.entry_id, _Seen(member, now_s))
-        seen.member = member
-        seen.at_s = now_s
-        seen.late_s.append(now_s - member.made_at_s)
+        known = self._entries.setdefault(member.entry_id, _KnownEntry(member, now_s))
+        known.member = member
+        known.read_at_s = now_s
+        known.delays_s.append(now_s - member.made_at_s)
         rates = (row.rate_tokens_per_s for row in member.shares.values())
         self._rates_tokens_per_s[member.entry_id] = sum(rates)
 
     def member(self, entry: EntryId) -> Member | None:
         """The newest row of ``entry``."""
-        seen = self._seen.get(entry)
-        return seen.member if seen else None
+        known = self._entries.get(entry)
+        return known.member if known else None
 
     def members(self) -> dict[EntryId, Member]:
         """The newest row of each entry."""
-        return {entry: seen.member for entry, seen in self._seen.items()}
+        return {entry: known.member for entry, known in self._entries.items()}
 
     def clock_lead_s(self, clock_offset_s: float) -> float | None:
-        """How far this entry's time of day is ahead of most others'.
+        """How far this entry's time of day is ahead of the median of the others.
 
-        A row that was read late makes it look further ahead than it is, never
-        less: a clock that is ahead, which would make a row look newer than it
-        was, is always seen. Of each entry's last rows the one read most promptly
-        counts: entries that have little to say write a row each few seconds, and the
-        newest may be one that waited for the end of a cut. Taken for a clock that was
-        set, it would cost all that is claimed at a loss of power.
+        The delay of a row makes the lead look larger, never smaller. A clock that is
+        ahead, which would make rows look newer than they are, is therefore always
+        detected. Of each entry's last rows the one with the shortest delay counts: an
+        entry with few changes writes a row every few seconds, and its newest row may
+        have waited for the end of a network partition. Mistaken for a clock that was
+        set, that delay would lose all claimed tokens at a power loss.
 
-        :param clock_offset_s: its time of day less its steady clock, now.
+        :param clock_offset_s: this entry's time of day less its steady clock, now.
+        :returns: ``None`` if there are too few other entries.
         """
-        others = [seen for entry, seen in self._seen.items() if entry != self.me]
+        others = [known for entry, known in self._entries.items() if entry != self.me]
         if len(others) < FEWEST_WITNESSES:
             return None
-        return statistics.median(min(s.late_s) for s in others) + clock_offset_s
+        return statistics.median(min(s.delays_s) for s in others) + clock_offset_s
 
     def prompt_clock_lead_s(self, clock_offset_s: float) -> float | None:
-        """The same by rows that were read promptly, ``None`` if there are too few.
+        """Like :meth:`clock_lead_s`, but only by entries with :data:`PROMPT_ROWS` rows.
 
-        :param clock_offset_s: its time of day less its steady clock, now.
+        :param clock_offset_s: this entry's time of day less its steady clock, now.
+        :returns: ``None`` if these are not the majority of the other entries, or fewer
+            than :data:`FEWEST_WITNESSES`.
         """
         prompt = [
-            min(seen.late_s)
-            for entry, seen in self._seen.items()
-            if entry != self.me and len(seen.late_s) == PROMPT_ROWS
+            min(known.delays_s)
+            for entry, known in self._entries.items()
+            if entry != self.me and len(known.delays_s) == PROMPT_ROWS
         ]
-        others = len(self._seen.keys() - {self.me})
+        others = len(self._entries.keys() - {self.me})
         if len(prompt) < max(FEWEST_WITNESSES, others // 2 + 1):
             return None
         return statistics.median(prompt) + clock_offset_s
 
     def leaving(self, entry: EntryId, started_s: float) -> None:
-        """``entry`` says that its start of ``started_s`` ends: rows that say otherwise
-        were made before."""
-        self._leaving_s[entry] = started_s
+        """Record the notice of ``entry`` that its process of ``started_s`` is leaving.
+
+        Rows of that process in state ``SERVING`` were made before the notice.
+        """
+        self._leaving_starts_s[entry] = started_s
 
     def dropped(self, entry: EntryId) -> None:
-        """The row of ``entry`` was removed."""
-        self._seen.pop(entry, None)
-        self._leaving_s.pop(entry, None)
+        """Remove ``entry``, whose row was deleted."""
+        self._entries.pop(entry, None)
+        self._leaving_starts_s.pop(entry, None)
         self._rates_tokens_per_s.pop(entry, None)
 
     def read_ok(self, now_s: float) -> None:
-        """The log answered a read at ``now_s``."""
-        gap_s = _silent_s(len(self._seen))
-        if now_s - self._read_at_s > gap_s / 2:
-            # After an outage every row looks old; each entry is given the
-            # usual time to write again before it counts as silent.
-            self._reading_since_s = now_s
-        self._read_at_s = now_s
+        """Record that the log answered a read at ``now_s``."""
+        limit_s = _silence_limit_s(len(self._entries))
+        if now_s - self._last_read_s > limit_s / 2:
+            # After an outage every row looks old. Each entry gets the usual time
+            # to renew its row before it counts as silent.
+            self._readable_since_s = now_s
+        self._last_read_s = now_s
 
     def lately_written(self) -> set[EntryId]:
-        """The entries that wrote a row shortly before the last read of rows."""
-        limit_s = _silent_s(len(self._seen))
+        """The entries that were not silent at the last read of the log."""
+        limit_s = _silence_limit_s(len(self._entries))
         return {
             entry
-            for entry, seen in self._seen.items()
-            if self._read_at_s - seen.at_s <= limit_s
+            for entry, known in self._entries.items()
+            if self._last_read_s - known.read_at_s <= limit_s
         }
 
     def read_age_s(self, now_s: float) -> float:
-        """How old what is known of the other entries is."""
-        return now_s - self._read_at_s
+        """Time since the last successful read of the log."""
+        return now_s - self._last_read_s
 
     def live(self, now_s: float) -> list[Member]:
-        """Entries that take new callers, without this one."""
-        limit_s = _silent_s(len(self._seen))
-        reading = now_s - self._read_at_s < limit_s / 2
-        settled = reading and now_s - self._reading_since_s > limit_s
+        """The other entries that are alive and serving."""
+        limit_s = _silence_limit_s(len(self._entries))
+        readable = now_s - self._last_read_s < limit_s / 2
+        settled = readable and now_s - self._readable_since_s > limit_s
         return [
-            seen.member
-            for entry, seen in self._seen.items()
+            known.member
+            for entry, known in self._entries.items()
             if entry != self.me
-            and seen.member.state is MemberState.SERVING
-            and self._leaving_s.get(entry) != seen.member.started_s
-            and not (settled and now_s - seen.at_s > limit_s)
+            and known.member.state is MemberState.SERVING
+            and self._leaving_starts_s.get(entry) != known.member.started_s
+            and not (settled and now_s - known.read_at_s > limit_s)
         ]
 
     def division(self, now_s: float) -> Division:
-        """Who shares the callers now, and how much of the work comes here."""
-        at_s, known = self._divided
+        """How the callers and the load are divided now; cached for a short time."""
+        at_s, cached = self._cached_division
         if not 0 <= now_s - at_s < DIVISION_S:
-            known = self._divide(now_s)
-            self._divided = (now_s, known)
-        return known
+            cached = self._divide(now_s)
+            self._cached_division = (now_s, cached)
+        return cached
 
     def _divide(self, now_s: float) -> Division:
         others = self.live(now_s)
         links_mbps = [*(m.link_mbps for m in others), self.link_mbps]
         least_mbps = least_link_mbps(links_mbps)
-        told = sum(mbps >= least_mbps for mbps in links_mbps)
+        advertised = sum(mbps >= least_mbps for mbps in links_mbps)
         rates = self._rates_tokens_per_s
         fleet_rate = sum(rates.values())
-        busy_rate = BUSY_SHARE * fleet_rate / max(1, told)
+        busy_rate = BUSY_SHARE * fleet_rate / max(1, advertised)
 
         def takes_callers(entry: EntryId, link_mbps: float) -> bool:
             return link_mbps >= least_mbps or rates.get(entry, 0) > busy_rate
 
         sharers = tuple(m for m in others if takes_callers(m.entry_id, m.link_mbps))
         taking = len(sharers) + 1
-        mine = rates.get(self.me, 0)
+        own_rate = rates.get(self.me, 0)
         return Division(
             entries=len(others) + 1,
             sharers=sharers,
             takes_callers=takes_callers(self.me, self.link_mbps),
-            load_times=min(taking, max(1.0, fleet_rate / mine)) if mine else taking,
+            load_times=min(taking, max(1.0, fleet_rate / own_rate))
+            if own_rate
+            else taking,
         )
 
 
 def choose_addresses(
     members: list[Member], zone: Zone, rng: random.Random
 ) -> list[str]:
-    """The addresses to tell a caller in ``zone``.
+    """The entry addresses to give to a caller in ``zone``.
 
-    All that take callers, while they fit the answer: callers spread over all of
-    them, so none is left with the callers of a small failure domain alone. In a
-    larger fleet, those of the caller's own domain go first.
+    The answer has all entries that take callers, as far as they fit, so that callers
+    spread over all of them and no entry serves only a small failure domain. In a larger
+    fleet, entries in the caller's own domain are preferred.
     """
     least_mbps = least_link_mbps([m.link_mbps for m in members])
-    able = [m for m in members if m.link_mbps >= least_mbps]
-    shuffled = rng.sample(able, len(able))
+    eligible = [m for m in members if m.link_mbps >= least_mbps]
+    shuffled = rng.sample(eligible, len(eligible))
     shuffled.sort(key=lambda m: m.zone != zone)
     return [m.front_address for m in shuffled[:MAX_ADDRESSES]]
