--- a/src/celerytrack/links.py
+++ b/src/celerytrack/links.py
@@ -1,30 +1,31 @@
-"""Which entries take callers, by what their links carry, without I/O.
+"""Which entries take callers, by the capacity of their network links, without I/O.
 
-Load pattern answered: a few entries with wide links among many with narrow ones, before
-callers that are spread evenly over the addresses that they are told.
+It serves fleets in which a few entries have wide links and many have narrow ones, while
+callers spread evenly over the addresses that they get.
 """
 
 from collections.abc import Sequence
 
 UNEQUAL_TIMES = 8.0
-"""An entry whose link carries this many times less than the best one's takes callers
-only where the others are too few: its part of the callers would fill its link."""
+"""An entry whose link is this many times narrower than the widest takes callers only if
+the other entries are too few. Its share of the callers would saturate its link."""
 ABLE_SHARE = 1 / 3
-"""Part of what all links carry that the entries left must have together, so that their
-load at most triples."""
+"""Smallest share of the total link capacity that the remaining entries must have, so
+that their load at most triples."""
 ABLE_LEAST = 4
-"""Entries that must be left, so that the loss of one or two is borne."""
+"""Smallest number of remaining entries, so that one or two may fail."""
 
 
 def least_link_mbps(links_mbps: Sequence[float]) -> float:
-    """The smallest link with which an entry takes callers; 0 if all do.
+    """The narrowest link with which an entry takes callers; 0 if all entries do.
 
-    Few entries with wide links serve callers better than all: an account is divided
-    among fewer, each knows more of what the engines have to do, and rows are fewer.
+    A few entries with wide links serve callers better than all entries would: accounts
+    are divided among fewer entries, each sees more of the engines' load, and fewer rows
+    are written.
 
-    :param links_mbps: what the link of each entry carries.
+    :param links_mbps: link capacity of each entry.
     """
     least_mbps = max(links_mbps, default=0.0) / UNEQUAL_TIMES
-    able_mbps = [mbps for mbps in links_mbps if mbps >= least_mbps]
-    enough = sum(able_mbps) >= ABLE_SHARE * sum(links_mbps)
-    return least_mbps if enough and len(able_mbps) >= ABLE_LEAST else 0.0
+    wide_mbps = [mbps for mbps in links_mbps if mbps >= least_mbps]
+    has_capacity = sum(wide_mbps) >= ABLE_SHARE * sum(links_mbps)
+    return least_mbps if has_capacity and len(wide_mbps) >= ABLE_LEAST else 0.0
--- a/src/celerytrack/member.py
+++ b/src/celerytrack/member.py
@@ -1,4 +1,4 @@
-"""One entry's row, and which of two is the newer, without I/O."""
+"""The row of one entry, and the order of rows, without I/O."""
 
 import enum
 from collections.abc import Iterable, Mapping
@@ -10,12 +10,12 @@
 from celerytrack.prepaid import Row
 
 LONG_SILENT_S = 60.0
-"""An entry whose row is older than the newest by this is gone, whatever a copy of the
-log lost and clocks differ by."""
+"""An entry whose row is this much older than the newest row is gone. The limit exceeds
+what a restored copy of the log has lost and what clocks differ by."""
 
 
 class MemberState(enum.Enum):
-    """What an entry says of itself."""
+    """State that an entry declares in its row."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -23,21 +23,21 @@
 
 @attrs.frozen
 class Member:
-    """One entry's row.
+    """The row of one entry.
 
-    :ivar epoch: grows with each start of this entry.
+    :ivar epoch: grows with each restart of the entry.
     :ivar front_address: where callers connect.
     :ivar peer_address: where other entries connect.
     :ivar made_s: when the row was made, on the instance's steady clock.
-    :ivar clock_offset_s: its time of day less its steady clock at that moment;
-        it changes when the instance starts anew or its clock is set.
-    :ivar started_s: when this start of the entry began, on the same clock.
-    :ivar left_at_s: when the last row of its earlier start was made, by that
-        start's time of day; ``None`` if there was none.
-    :ivar clock_lead_s: how far its time of day was ahead of the other entries',
-        by their last rows; ``None`` if it had too few to compare with.
-    :ivar link_mbps: what its link carries; 0 if it is not told.
-    :ivar era: the newest era of the log that it knew; ``None`` if it knew none.
+    :ivar clock_offset_s: time of day less steady clock at that moment; it changes when
+        the instance reboots or its clock is set.
+    :ivar started_s: when this process of the entry started, on the steady clock.
+    :ivar left_at_s: when the last row of the entry's previous process was made, by the
+        time of day of that process; ``None`` if there was none.
+    :ivar clock_lead_s: how far its time of day was ahead of the other entries', by
+        their last rows; ``None`` if there were too few to compare with.
+    :ivar link_mbps: capacity of its network link; 0 if unknown.
+    :ivar era: newest era of the log that it knew; ``None`` if it knew none.
     :ivar shares: its claims on prepaid totals.
     """
 
@@ -63,15 +63,15 @@
 
     @property
     def started_at_s(self) -> float:
-        """When this start began, by the instance's time of day."""
+        """When this process started, by the instance's time of day."""
         return self.started_s + self.clock_offset_s
 
 
 def older_row(row: Member, known: Member) -> bool:
-    """Whether ``known`` was written after ``row``, of the same entry.
+    """Whether ``known`` was written after ``row``, a row of the same entry.
 
-    A log that came back from a copy holds an older row than was read before: it would
-    name an entry that leaves, or an address of an earlier start.
+    A log restored from an older copy holds older rows than were read before. They could
+    show a leaving entry as serving, or have the address of an earlier process.
     """
     if row.era is not None and known.era is not None and row.era != known.era:
         return row.era < known.era
@@ -81,8 +81,10 @@
 
 
 def of_other_eras(rows: Iterable[Member], era: Era | None) -> dict[EntryId, Era]:
-    """In which era the row of each entry was made that is of another one than ``era``,
-    but for those long silent."""
+    """The eras of the rows that were made in another era than ``era``, by entry.
+
+    Entries that have been silent for :data:`LONG_SILENT_S` are left out.
+    """
     rows = list(rows)
     newest_at_s = max((row.made_at_s for row in rows), default=0.0)
     return {
--- a/src/celerytrack/routes.py
+++ b/src/celerytrack/routes.py
@@ -1,9 +1,7 @@
-"""The declared routes, services and client accounts, and how a request
-finds its route, without I/O.
+"""The configured routes, services and client accounts, and route matching, without I/O.
 
-A :class:`RoutingTable` is one version of what operators declared. It is
-immutable: a new version replaces it whole, so a request that began under one
-version is handled by that version to its end.
+A :class:`RoutingTable` is one version of the operators' configuration. It is immutable
+and replaced as a whole, so that a request is handled by one version from start to end.
 """
 
 import enum
@@ -14,32 +12,32 @@
 from celerytrack.ids import AccountId, ServiceName
 
 DEFAULT_BODY_BYTES = 4 * 1024 * 1024
-"""Body bytes taken from a caller where the configuration names no limit."""
+"""Largest request body if the configuration sets no limit."""
 
 
 class Repeat(enum.Enum):
-    """What a route's requests allow to be repeated."""
+    """Whether the requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
-    """May run any number of times."""
+    """A request may run any number of times."""
     AT_MOST_ONCE = "at_most_once"
-    """May run once; sent again only after proof that it did not run."""
+    """A request may run once. It is sent again only if it provably did not run."""
 
 
 @attrs.frozen
 class Route:
-    """One route: which requests it takes and how they are handled.
+    """One route: the requests that it matches and how they are handled.
 
     :ivar prefix: path prefix, beginning and ending with a slash.
-    :ivar services: ``(service, weight)`` pairs that share the requests.
+    :ivar services: ``(service, weight)`` pairs among which requests are split.
     :ivar stream: whether answers are server-sent events.
-    :ivar resumable: whether a broken stream may go on at another endpoint.
-    :ivar timeout_s: longest time a request is kept waiting.
-    :ivar target_s: latency objective (streams: to the first event).
-    :ivar max_attempts: endpoints that one request may be sent to.
+    :ivar resumable: whether a broken stream may be resumed at another endpoint.
+    :ivar timeout_s: longest time that a request may take.
+    :ivar target_s: latency objective; for streams, of the first event.
+    :ivar max_attempts: most endpoints to which one request may be sent.
     :ivar priority: 0 is the most urgent.
-    :ivar public: whether no key is asked for.
-    :ivar has_prompt: whether requests name the parts of their prompt.
+    :ivar public: whether requests need no key.
+    :ivar has_prompt: whether requests list the parts of their prompt.
     """
 
     name: str
@@ -66,7 +64,7 @@
 class Service:
     """One service: a set of endpoints that serve the same requests.
 
-    :ivar max_connections: connections one endpoint accepts from all callers.
+    :ivar max_connections: connections that one endpoint accepts from all entries.
     :ivar event_tokens: most output tokens in one event of a model engine's stream.
     """
 
@@ -79,8 +77,8 @@
 class ClientAccount:
     """A client account: its keys and its prepaid total.
 
-    :ivar prepaid_tokens: tokens it may consume in all; ``None`` for no limit.
-    :ivar priority: goes before the route's, when given.
+    :ivar prepaid_tokens: tokens that it may consume in total; ``None`` for no limit.
+    :ivar priority: overrides the priority of the route; ``None`` if not set.
     """
 
     account_id: AccountId
@@ -91,10 +89,10 @@
 
 @attrs.frozen
 class RoutingTable:
-    """One version of the declared configuration.
+    """One version of the configuration.
 
     :ivar version: grows with every change.
-    :ivar needs_key: whether requests must carry a key.
+    :ivar needs_key: whether requests to routes that aren't public need a key.
     """
 
     version: int
@@ -118,19 +116,19 @@
 
     @property
     def most_urgent(self) -> int:
-        """The rank of the most urgent route whose requests have prompts."""
-        ranks = (route.priority for route in self.routes if route.has_prompt)
-        return min(ranks, default=0)
+        """The priority of the most urgent route whose requests have prompts."""
+        priorities = (route.priority for route in self.routes if route.has_prompt)
+        return min(priorities, default=0)
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of ``host`` with the longest prefix that begins ``path``."""
+        """The route of ``host`` with the longest prefix of ``path``."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def account_by_key(self, key: str) -> ClientAccount | None:
-        """The account that holds ``key``, or ``None``."""
+        """The account to which ``key`` belongs, or ``None``."""
         return self._by_key.get(key)
 
 
