--- a/src/celerytrack/planned_stop.py
+++ b/src/celerytrack/planned_stop.py
@@ -1,37 +1,40 @@
-"""The times of a planned stop and the requests that it still takes, without I/O.
+"""Deadlines of a planned stop and admission of requests during it, without I/O.
 
-A process that is told to stop has a grace time, after which it is killed whatever it is
-in the middle of. Each part of a stop therefore ends at a time counted from the signal,
-and a request is taken only if it ends before the answers must.
+A process that gets the signal to stop has a grace period, after which it is killed in
+any state. Each phase of a stop therefore has a deadline counted from the signal, and a
+request is admitted only if it will end before the deadline of the answers.
 """
 
 import attrs
 
 SETTLE_SHARE = 0.15
-"""Part of the grace time that is kept for its end: the answers' last bytes, the last
-row and the exit."""
+"""Share of the grace period that is reserved for its end: to flush the answers, write
+the last row and exit."""
 SETTLE_MOST_S = 0.8
 CLOSING_SHARE = 0.6
-"""Part of that end in which listeners and connections close and the process exits."""
+"""Share of that end in which listeners and connections close and the process exits."""
 SERVES_SHARE = 0.45
-"""Part of the grace time for which callers are expected to come."""
+"""Share of the grace period in which callers may still arrive."""
 SERVES_MOST_S = 3.5
-"""Address answers lapse after a second, or three for callers that keep them longer."""
+"""Callers cache address answers for one second, some for three."""
 STREAM_TAKEN_S = 3.0
-"""How long after the signal a stream is taken that will likely end in time, but may
-not."""
+"""How long after the signal a stream is admitted that will probably, but not certainly,
+end in time."""
 HEARD_LATE_S = 0.2
-"""How long after it was sent a signal may be heard: an instance that has used up its
-share of a processor stands still for a tenth of a second."""
+"""Longest delay of a signal: an instance that has used up its CPU quota is suspended
+for a tenth of a second."""
 
 
 @attrs.frozen
 class Lasting:
-    """How long a request may be in progress.
+    """Limit and estimate of the duration of a request.
 
-    :ivar most_s: until its deadline.
-    :ivar likely_s: what nearly all of its kind ended within lately.
-    :ivar stream: a begun answer can't be replaced by a failure any more.
+    Its ``repr`` is part of the text of a refusal.
+
+    :ivar most_s: time until its deadline.
+    :ivar likely_s: duration within which nearly all recent requests of its kind ended.
+    :ivar stream: whether the answer is a stream; once begun, it can't be replaced by an
+        error answer.
     """
 
     most_s: float
@@ -41,10 +44,10 @@
 
 @attrs.frozen
 class PlannedStop:
-    """One planned stop.
+    """The deadlines of one planned stop.
 
-    :ivar began_s: when its signal was heard.
-    :ivar grace_s: how long after it the process is killed.
+    :ivar began_s: when the signal was received.
+    :ivar grace_s: time from the signal until the process is killed.
     """
 
     began_s: float
@@ -52,22 +55,22 @@
 
     @property
     def serves_until_s(self) -> float:
-        """Until when the process stays, though nothing is in progress."""
+        """Until when the process stays up even if no request is in progress."""
         return self.began_s + min(SERVES_MOST_S, SERVES_SHARE * self.grace_s)
 
     @property
     def answers_end_s(self) -> float:
-        """When each request in progress gets its final answer."""
+        """Deadline of the answers to all requests in progress."""
         return self.began_s + self.grace_s - self._settle_s
 
     @property
     def closes_s(self) -> float:
-        """When the listeners and the connections close at the latest."""
+        """Deadline after which listeners and connections are closed."""
         return self.answers_end_s + (1 - CLOSING_SHARE) * self._settle_s
 
     @property
     def closing_s(self) -> float:
-        """How long they may take to close; the exit needs as much again."""
+        """Longest time to close them; the exit may take as long again."""
         return CLOSING_SHARE * self._settle_s / 2
 
     @property
@@ -75,7 +78,7 @@
         return min(SETTLE_MOST_S, SETTLE_SHARE * self.grace_s)
 
     def takes(self, lasting: Lasting, now_s: float) -> bool:
-        """Whether a request that has come now can be served to its end."""
+        """Whether a request that arrives now can be served to its end."""
         left_s = self.answers_end_s - now_s
         if lasting.most_s <= left_s:
             return True
--- a/src/celerytrack/prefill.py
+++ b/src/celerytrack/prefill.py
@@ -1,38 +1,38 @@
-"""How long engines take to read prompts, and in which order they should.
+"""Prefill times of prompts and the order in which engines prefill them.
 
-An engine takes the more urgent of the prompts that wait at it first. Shortest
-first keeps most first tokens early: a hundred short ones behind one that takes a
-second would all be late, while it hardly notices that they went ahead. Reading is
-shared, though: a short prompt beside a long one still waits for part of it, so a choice
-counts all that waits.
+An engine prefills the most urgent pending prompt first. Shortest first keeps most first
+tokens on time: a hundred short prompts behind one that takes a second would all be
+late, while the long prompt is hardly delayed by short ones that overtake it. Prefill is
+shared, however: a short prompt beside a long one still waits for a part of it, so the
+choice of an endpoint counts all pending prompts.
 
-Load patterns answered: bursts of long prompts beside a stream of short ones; medium
-prompts that have little time beside short ones that have twice as much.
+The order is meant for bursts of long prompts beside a stream of short ones, and for
+medium prompts with tight targets beside short prompts with targets twice as long.
 """
 
 import enum
 
 PREFILL_TOKENS_PER_S = 64_000.0
-"""Prompt tokens that an engine reads a second beside its other work; how an engine
-differs is learned as its slowness."""
+"""Prompt tokens that an engine prefills per second beside its other work. Differences
+between engines go into their measured slowness."""
 PAIR_S = 0.25e-9
-"""Time an engine takes for each pair of a prompt's tokens: a prompt of 50,000 tokens
-takes a third more than its tokens alone."""
+"""Attention time for each pair of a prompt's tokens. It makes a prompt of 50,000 tokens
+take a third longer than the linear part alone."""
 SHORT_S = 0.1
-"""A short prompt's reading time at most: two may go ahead of a third that has little
-time."""
+"""Longest prefill of a short prompt: two may go ahead of a third with a tight
+target."""
 MEDIUM_S = 0.4
-"""A medium prompt's reading time at most: a longer one is at risk wherever it stands,
-and holds up most."""
+"""Longest prefill of a medium prompt. A longer prompt may be late at any position, and
+delays the others most."""
 PATIENT_S = 1.0
-"""A target above this leaves time for those of the next size too: a burst of long
-prompts keeps an engine reading for most of a second."""
+"""A prompt with a target above this can wait for prompts of the next size too: a burst
+of long prompts keeps an engine busy for most of a second."""
 URGENCIES = 9
-"""The highest number of an urgency; 0 is the most urgent."""
+"""Highest urgency number; 0 is the most urgent."""
 
 
 class Size(enum.IntEnum):
-    """How long an engine is busy with a prompt."""
+    """Class of a prompt by its prefill time."""
 
     SHORT = 0
     MEDIUM = 1
@@ -40,24 +40,24 @@
 
 
 def prefill_s(unread_tokens: int, prompt_tokens: int) -> float:
-    """How long an engine takes to read the last ``unread_tokens`` of a prompt."""
+    """Time to prefill the last ``unread_tokens`` of a prompt."""
     pairs = unread_tokens * (prompt_tokens - unread_tokens / 2)
     return unread_tokens / PREFILL_TOKENS_PER_S + pairs * PAIR_S
 
 
 def size_of(work_s: float) -> Size:
-    """The size of a prompt that takes ``work_s`` to read."""
+    """The size class of a prompt that takes ``work_s`` to prefill."""
     if work_s <= SHORT_S:
         return Size.SHORT
     return Size.MEDIUM if work_s <= MEDIUM_S else Size.LONG
 
 
 def urgency(priority: int, work_s: float, target_s: float) -> int:
-    """The urgency of a prompt: its size first, then its rank.
+    """The urgency of a prompt: by its size, then by its priority.
 
-    :param priority: rank of its client account or route; 0 is the highest.
-    :param target_s: its target for the first token. Those with much time go with
-        the next size, and a medium prompt with little time before them.
+    :param priority: priority of its client account or route; 0 is the most urgent.
+    :param target_s: its target for the time to first token. A prompt with a long target
+        is put into the next size class, behind medium prompts with tight targets.
     """
     size = size_of(work_s)
     if target_s > PATIENT_S:
--- a/src/celerytrack/process_end.py
+++ b/src/celerytrack/process_end.py
@@ -1,20 +1,20 @@
-"""Whether a back end's process has ended, by what its address does with connections."""
+"""Detection of an endpoint's crash by connections to its address."""
 
 import asyncio
 import enum
 
 CONNECT_TIMEOUT_S = 0.5
-"""Longest wait for a connection: within a region it takes a few ms, so this
-means that the instance is dark."""
+"""Connect timeout. Within a region a connection takes a few ms, so an instance that
+exceeds it is unreachable."""
 CONNECT_PAUSES_S = (0.0, 0.25)
-"""When the address is tried: a process that ends may take the connections of others
+"""Delays before the connection attempts. A crashing process may accept connections for
 a moment longer."""
 ENDING_KNOWN_S = sum(CONNECT_PAUSES_S) + CONNECT_TIMEOUT_S * len(CONNECT_PAUSES_S)
-"""Within it an ended process is known as such."""
+"""Longest time that :func:`has_ended` takes."""
 
 
 class AddressState(enum.Enum):
-    """What came of a connection to an address."""
+    """Result of a connection attempt."""
 
     TAKEN = "taken"
     REFUSED = "refused"
@@ -22,7 +22,7 @@
 
 
 async def try_address(address: str) -> AddressState:
-    """Connect to ``address`` and close the connection again."""
+    """Connect to ``address`` and close the connection."""
     host, port = address.rsplit(":", 1)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -36,7 +36,7 @@
 
 
 async def has_ended(address: str) -> bool:
-    """Whether the process at ``address`` takes no connections any more."""
+    """Whether ``address`` refuses connections, as that of a crashed process does."""
     for pause_s in CONNECT_PAUSES_S:
         await asyncio.sleep(pause_s)
         if await try_address(address) is AddressState.REFUSED:
--- a/src/celerytrack/streams.py
+++ b/src/celerytrack/streams.py
@@ -1,17 +1,17 @@
-"""Cutting a server-sent event stream into whole events, without I/O."""
+"""Splitting of server-sent event streams into complete events, without I/O."""
 
 import attrs
 
-_END = b"\n\n"
+_EVENT_END = b"\n\n"
 
 
 @attrs.frozen
 class Events:
-    """Whole events that arrived together.
+    """Consecutive complete events.
 
-    :ivar data: their bytes, as they came.
-    :ivar count: how many there are.
-    :ivar last_id: the id of the last one that bears one.
+    :ivar data: their bytes, unchanged.
+    :ivar count: number of events.
+    :ivar last_id: the id of the last event that has one.
     """
 
     data: bytes
@@ -21,41 +21,41 @@
 
 @attrs.define
 class EventCutter:
-    """Collects bytes of a stream and gives out whole events.
+    """Buffers the bytes of a stream and returns complete events.
 
-    An endpoint may stop in the middle of an event. Passing the half event on
-    would spoil the stream for good: the next endpoint sends it again whole.
+    An endpoint may stop in the middle of an event. Forwarding the partial event would
+    corrupt the stream, because the next endpoint sends the event again as a whole.
 
-    :ivar events: events given out so far.
-    :ivar last_id: the id of the last of them.
+    :ivar events: number of events returned so far.
+    :ivar last_id: the id of the last returned event that has one.
     """
 
     events: int = 0
     last_id: str | None = None
-    _rest: bytes = b""
+    _buffer: bytes = b""
 
     @property
     def partial(self) -> bool:
-        """Whether half an event is waiting for its end."""
-        return bool(self._rest)
+        """Whether an incomplete event is buffered."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> Events | None:
-        """Take bytes; the whole events they complete, if any."""
-        block, end, rest = (self._rest + data).rpartition(_END)
+        """Add bytes and return the events that are now complete, if any."""
+        block, end, rest = (self._buffer + data).rpartition(_EVENT_END)
         if not end:
-            self._rest = rest
+            self._buffer = rest
             return None
-        self._rest = rest
+        self._buffer = rest
         block += end
-        count = block.count(_END)
+        count = block.count(_EVENT_END)
         last_id = last_event_id(block)
         self.events += count
         self.last_id = last_id or self.last_id
         return Events(block, count, last_id)
 
     def restart(self) -> None:
-        """The stream goes on over a new connection."""
-        self._rest = b""
+        """Discard the incomplete event: the stream resumes on a new connection."""
+        self._buffer = b""
 
 
 def last_event_id(block: bytes) -> str | None:
