--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""What is concluded from endpoints that end under requests."""
+"""Quarantine of requests by the endpoint crashes during which they ran."""
 
 import random
 import unittest
@@ -54,37 +54,38 @@
         (3, Standing.SHUT_OUT),
         (6, Standing.SHUT_OUT),
     )
-    def test_a_request_stands_as_often_as_endpoints_ended(
+    def test_the_state_follows_the_number_of_crashes(
         self, endings: int, standing: Standing
     ) -> None:
         self.assertEqual(_book(endings).standing(BAD, {V1}, 1.0), standing)
 
-    def test_one_start_that_ended_counts_once_whoever_saw_it(self) -> None:
+    def test_a_crash_reported_by_several_entries_counts_once(self) -> None:
         book = _book(1)
         for entry in "abc":
             seen = (Evidence(BAD, _ending(0)),)
             book.heard(Findings(EntryId(entry), seen), False, 1.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.WATCHED)
 
-    def test_starts_under_one_id_are_told_apart(self) -> None:
+    def test_crashes_of_restarts_under_one_id_all_count(self) -> None:
         book = SuspectBook(ME)
         for born_ms in (1, 2, 3):
             ending = Ending(EndpointId("i-0"), born_ms, V1)
             book.witnessed(ending, [BAD], 0.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
 
-    def test_evidence_of_entries_that_tried_once_each_adds_up(self) -> None:
-        """One try by each of many entries ended more endpoints than one entry may."""
+    def test_evidence_of_several_entries_adds_up(self) -> None:
+        """Many entries that each sent the request once crashed more endpoints than the
+        limit allows."""
         book = SuspectBook(ME)
         for number in range(3):
             seen = (Evidence(BAD, _ending(number)),)
             book.heard(Findings(EntryId(f"x{number}"), seen), False, 0.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
 
-    def test_two_crashing_requests_are_both_found_and_what_ends_well_is_not(
+    def test_two_crashing_requests_are_quarantined_and_a_successful_one_is_not(
         self,
     ) -> None:
-        """Harmless requests shared the blame of two that ended endpoints together."""
+        """A harmless request that ran beside two crashing ones was suspected too."""
         book = SuspectBook(ME)
         worse = fingerprint_of(PLACE, b"worse")
         for number in range(3):
@@ -94,7 +95,7 @@
             self.assertEqual(book.standing(fingerprint, {V1}, 1.0), Standing.SHUT_OUT)
         self.assertEqual(book.standing(GOOD, {V1}, 1.0), Standing.CLEAR)
 
-    def test_what_was_forgiven_stays_so_when_it_is_told_again(self) -> None:
+    def test_cleared_evidence_stays_cleared_when_it_is_reported_again(self) -> None:
         book = _book(2)
         book.forgive(BAD, 1.0)
         seen = tuple(Evidence(BAD, _ending(n)) for n in range(2))
@@ -102,9 +103,9 @@
         self.assertEqual(book.standing(BAD, {V1}, 2.0), Standing.CLEAR)
 
 
-class WayBackTest(unittest.TestCase):
+class QuarantineEndTest(unittest.TestCase):
     @params((3, QUARANTINES_S[0]), (4, QUARANTINES_S[1]), (5, QUARANTINES_S[2]))
-    def test_each_ending_more_shuts_out_for_longer(
+    def test_each_further_crash_extends_the_quarantine(
         self, endings: int, lasts_s: float
     ) -> None:
         book = _book(endings)
@@ -113,8 +114,8 @@
         self.assertEqual(early, Standing.SHUT_OUT)
         self.assertEqual(book.standing(BAD, {V1}, lasts_s), Standing.ALONE)
 
-    def test_after_three_tries_more_only_an_operator_lets_it_back(self) -> None:
-        """Tries of a request that is known ended endpoints for ever, now and then."""
+    def test_after_three_probes_only_an_operator_ends_the_quarantine(self) -> None:
+        """Probes of a request that is known to crash endpoints went on for ever."""
         book = _book(6)
         self.assertIsNone(book.back_in_s(BAD, 1e9))
         self.assertEqual(book.standing(BAD, {V1}, 1e9), Standing.SHUT_OUT)
@@ -127,61 +128,61 @@
         ({V1, V2}, Standing.SHUT_OUT),
         (set(), Standing.SHUT_OUT),
     )
-    def test_other_builds_alone_are_reason_to_try_again(
+    def test_a_probe_is_allowed_once_all_builds_differ(
         self, builds: set[str], standing: Standing
     ) -> None:
         self.assertEqual(_book(3).standing(BAD, builds, 1.0), standing)
 
-    def test_a_try_at_another_build_that_ends_it_is_the_last_for_long(self) -> None:
+    def test_a_crash_of_another_build_quarantines_again(self) -> None:
         book = _book(3)
         book.witnessed(_ending(9, V2), [BAD], 1.0)
         self.assertEqual(book.standing(BAD, {V2}, 2.0), Standing.SHUT_OUT)
 
 
-class TrialTest(unittest.TestCase):
-    def _trial(self, lasts_s: float = 5.0) -> Trial:
+class ProbeTest(unittest.TestCase):
+    def _probe(self, lasts_s: float = 5.0) -> Trial:
         return Trial(BAD, EndpointId("i-9"), lasts_s)
 
-    def test_one_entry_at_a_time_tries_a_request(self) -> None:
+    def test_one_entry_at_a_time_probes_a_request(self) -> None:
         book = _book(2)
-        self.assertIsNotNone(book.claim(self._trial(), 0.0))
-        self.assertIsNone(book.claim(self._trial(), 1.0))
+        self.assertIsNotNone(book.claim(self._probe(), 0.0))
+        self.assertIsNone(book.claim(self._probe(), 1.0))
         book.release(BAD)
-        self.assertIsNotNone(book.claim(self._trial(), 2.0))
+        self.assertIsNotNone(book.claim(self._probe(), 2.0))
 
-    def test_a_trial_of_an_entry_that_is_gone_ends(self) -> None:
+    def test_a_probe_of_an_entry_that_is_gone_expires(self) -> None:
         book = _book(2)
-        book.heard(Findings(OTHER, trials=(self._trial(),)), False, 0.0)
-        self.assertIsNone(book.claim(self._trial(), 4.9))
-        self.assertIsNotNone(book.claim(self._trial(), 5.0))
+        book.heard(Findings(OTHER, trials=(self._probe(),)), False, 0.0)
+        self.assertIsNone(book.claim(self._probe(), 4.9))
+        self.assertIsNotNone(book.claim(self._probe(), 5.0))
 
     @params((EntryId("a"), False), (EntryId("z"), True))
-    def test_of_two_trials_begun_together_one_goes_on(
-        self, other: EntryId, mine: bool
+    def test_of_two_concurrent_probes_the_lower_entry_id_wins(
+        self, other: EntryId, wins: bool
     ) -> None:
         book = _book(2)
-        book.claim(self._trial(), 0.0)
-        book.heard(Findings(other, trials=(self._trial(),)), False, 0.001)
-        self.assertEqual(book.holds(BAD), mine)
+        book.claim(self._probe(), 0.0)
+        book.heard(Findings(other, trials=(self._probe(),)), False, 0.001)
+        self.assertEqual(book.holds(BAD), wins)
 
     @params(
         (
-            "its endpoint ended",
+            "its endpoint crashed",
             lambda b: b.witnessed(Ending(EndpointId("i-9")), [BAD], 1),
         ),
-        ("it ended well", lambda b: b.forgive(BAD, 1.0)),
-        ("another entry says so", lambda b: b.heard(Findings(ME), True, 1.0)),
+        ("the request succeeded", lambda b: b.forgive(BAD, 1.0)),
+        ("its record no longer lists it", lambda b: b.heard(Findings(ME), True, 1.0)),
     )
-    def test_a_trial_is_over_when(self, _: str, happens: object) -> None:
+    def test_a_probe_is_over_when(self, _: str, act: object) -> None:
         book = _book(2)
-        book.claim(self._trial(), 0.0)
-        happens(book)  # type: ignore[operator]
+        book.claim(self._probe(), 0.0)
+        act(book)  # type: ignore[operator]
         self.assertFalse(book.holds(BAD))
         self.assertEqual(book.endpoints_on_trial(1.0), set())
 
 
-class MemoryTest(unittest.TestCase):
-    def test_a_request_that_ended_few_is_forgotten_and_one_shut_out_is_not(
+class ExpiryTest(unittest.TestCase):
+    def test_a_suspect_expires_and_a_quarantined_request_does_not(
         self,
     ) -> None:
         book = _book(3)
@@ -190,8 +191,9 @@
         self.assertEqual(len(book), 1)
         self.assertTrue(book.watches(place_in(BAD)))
 
-    def test_trials_of_entries_that_are_gone_are_forgotten(self) -> None:
-        """Each claim that was never ended stayed, and each request looked at it."""
+    def test_probes_of_entries_that_are_gone_are_removed(self) -> None:
+        """Probes that were never ended stayed in memory and were scanned for each
+        request."""
         book = _book(2)
         trials = tuple(
             Trial(fingerprint_of(PLACE, b"%d" % n), EndpointId("i-9"), 5.0)
@@ -203,7 +205,7 @@
         book.forget(6.0)
         self.assertEqual(len(book._probes), 0)
 
-    def test_thousands_under_suspicion_leave_the_weightiest(self) -> None:
+    def test_eviction_keeps_the_requests_with_most_crashes(self) -> None:
         book = _book(3)
         many = [
             fingerprint_of(Place(b"other!"), b"%d" % n) for n in range(MOST_SUSPECTS)
@@ -215,14 +217,14 @@
         self.assertEqual(len(record.seen), MOST_TOLD)
         self.assertIn(BAD, {evidence.fingerprint for evidence in record.seen})
 
-    def test_a_start_takes_over_what_the_one_before_found(self) -> None:
-        before = _book(3)
+    def test_findings_survive_a_restart_of_the_entry(self) -> None:
+        previous = _book(3)
         book = SuspectBook(ME)
-        book.adopt(before.record(1.0), 0.0)
+        book.adopt(previous.record(1.0), 0.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
-        self.assertEqual(book.record(1.0), before.record(1.0))
+        self.assertEqual(book.record(1.0), previous.record(1.0))
 
-    def test_nothing_is_told_when_all_is_forgiven_once(self) -> None:
+    def test_clearing_a_single_crash_is_not_reported(self) -> None:
         book = _book(1)
         self.assertTrue(book.forgive(BAD, 1.0).empty)
         self.assertTrue(book.record(1.0).empty)
@@ -238,21 +240,21 @@
         forgiven=st.lists(_EVIDENCE, max_size=4),
         seed=st.integers(0, 1_000),
     )
-    def test_all_come_to_the_same_whatever_order_they_hear_in(
+    def test_the_state_does_not_depend_on_the_order_of_findings(
         self,
         seen: list[tuple[Fingerprint, int]],
         forgiven: list[tuple[Fingerprint, int]],
         seed: int,
     ) -> None:
-        """A note that came late or twice must not make entries judge differently."""
-        told = [Findings(OTHER, seen=(Evidence(f, _ending(n)),)) for f, n in seen]
-        told += [
+        """Notes arrive late or twice; entries must still reach the same state."""
+        sent = [Findings(OTHER, seen=(Evidence(f, _ending(n)),)) for f, n in seen]
+        sent += [
             Findings(OTHER, forgiven=(Evidence(f, _ending(n)),)) for f, n in forgiven
         ]
-        shuffled = [*told, *told[::2]]
+        shuffled = [*sent, *sent[::2]]
         random.Random(seed).shuffle(shuffled)
         books = (SuspectBook(ME), SuspectBook(ME))
-        for book, findings in zip(books, (told, shuffled), strict=True):
+        for book, findings in zip(books, (sent, shuffled), strict=True):
             for one in findings:
                 book.heard(one, False, 0.0)
         for fingerprint in (BAD, GOOD):
@@ -261,7 +263,7 @@
 
 
 class CodecTest(unittest.TestCase):
-    def test_what_is_told_is_read_as_told(self) -> None:
+    def test_findings_survive_encoding(self) -> None:
         findings = Findings(
             ME,
             (Evidence(BAD, _ending(1)),),
@@ -280,13 +282,13 @@
         b"\x95\xa8suspects\xa1e\x91\x95\xc4\x01x\xa1i\x00\xa1b\x00\x90\x90",
         b"\x95\xa8suspects\xa1e\x90\x90\x91\x93\xc4\x10" + 16 * b"x" + b"\xa1i\xff",
     )
-    def test_bytes_that_tell_nothing_are_rejected(self, raw: bytes) -> None:
+    def test_malformed_bytes_are_rejected(self, raw: bytes) -> None:
         with self.assertRaises(FindingsError):
             decode_findings(raw)
 
     @settings(max_examples=200, deadline=None)
     @given(raw=st.binary(max_size=80))
-    def test_no_bytes_do_harm(self, raw: bytes) -> None:
+    def test_arbitrary_bytes_raise_only_findings_errors(self, raw: bytes) -> None:
         for data in (raw, b"\x95\xa8suspects\xa1e" + raw):
             try:
                 decode_findings(data)
