--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Tables for the choice of an endpoint, and for routes and streams."""
+"""Choice of an endpoint, registrations, route matching and event streams."""
 
 import random
 import unittest
@@ -55,20 +55,20 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    def test_a_draining_endpoint_gets_nothing(self):
+    def test_a_draining_endpoint_is_not_chosen(self):
         book = _book(_reg("a", draining=True), _reg("b", THERE))
         self.assertEqual(_choose(book), "b")
 
-    def test_none_of_another_service(self):
+    def test_an_endpoint_of_another_service_is_not_chosen(self):
         book = _book(_reg("a", service=ServiceName("other")))
         self.assertIsNone(_choose(book))
 
-    def test_own_failure_domain_first(self):
+    def test_the_own_failure_domain_is_preferred(self):
         book = _book(_reg("a", THERE), _reg("b", HERE))
         self.assertEqual(_choose(book), "b")
 
     @params((0.5, "b"), (3.0, "a"))
-    def test_a_cold_endpoint_is_slow_for_a_while(self, now_s, expected):
+    def test_an_endpoint_is_avoided_while_it_warms_up(self, now_s, expected):
         cold = attrs.evolve(_reg("a"), cold_s=2.0)
         book = _book(cold, _reg("b", THERE))
         self.assertEqual(_choose(book, now_s=now_s), expected)
@@ -83,7 +83,7 @@
             homes.add(_choose(book, PROMPT))
         self.assertEqual(len(homes), 1)
 
-    def test_a_busy_home_is_left(self):
+    def test_another_engine_is_chosen_when_the_home_is_busy(self):
         book = _book(*(_reg(f"r{i}") for i in range(4)))
         home = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
         for i in range(8):
@@ -91,14 +91,14 @@
             _send(book, home, need, 1.0)
         self.assertNotEqual(_choose(book, PROMPT), home.endpoint_id)
 
-    def test_the_work_at_a_home_is_what_others_have_not_read_there(self):
-        """Symptom: long prompts of sessions in use left their homes, and their
-        shared parts were read again elsewhere.
+    def test_shared_parts_count_as_cached_at_the_home(self):
+        """Long prompts of active sessions left their homes, and their shared parts were
+        prefilled again elsewhere.
 
-        Sequence: entries send prompts of one session in turn, all to its home;
-        each tells the others of the whole prompt, though the home reads only
-        the new part; the home looks busy for five times as long as it is.
-        Cause: the work was counted by what this entry itself had sent there.
+        Several entries send prompts of one session to its home. Each counted as cached
+        only what it had sent itself, and reported the whole prompt to the others
+        although the home prefills only the new part. The home looked busy for five
+        times too long.
         """
         book = _book(*(_reg(f"r{i}") for i in range(4)))
         choice = book.choose(PROMPT, 1, 100, [], 1.0)
@@ -106,13 +106,13 @@
         sent = book.send(choice, PROMPT, 1.0)
         self.assertEqual(sent.work_s, choice.work_s)
 
-    def test_a_home_is_not_left_for_a_few_running_requests(self):
-        """Symptom: a twentieth of all prompt tokens read a second time.
+    def test_a_few_running_requests_do_not_outweigh_the_home(self):
+        """A twentieth of all prompt tokens was prefilled a second time.
 
-        Sequence: short prompts of one session arrive while their home runs a
-        few requests more than another engine; each goes to the other, which
-        reads the shared parts anew. Cause: a running request weighed as much
-        as 50 prompt tokens for each entry.
+        Short prompts of one session arrive while their home runs a few requests more
+        than another engine. They went to the other engine, which prefilled the shared
+        parts again, because a running request weighed as much as 50 prompt tokens for
+        each entry.
         """
         book = _book(*(_reg(f"r{i}", slots=64) for i in range(4)))
         short = Need(S, (("m/a", 119), ("m/a/b", 79), ("m/a/b/c", 400)))
@@ -123,7 +123,7 @@
         chosen = book.choose(short, 6, 360, [], 1.1).endpoint
         self.assertEqual(chosen.endpoint_id, home.endpoint_id)
 
-    def test_a_kept_prompt_is_not_read_again(self):
+    def test_a_cached_prompt_needs_no_prefill(self):
         book = _book(_reg("a"), _reg("b"))
         first = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
         sent = _send(book, first, PROMPT, 1.0)
@@ -131,13 +131,13 @@
         sent.end(1.2, False)
         self.assertEqual(first.unread(PROMPT, False, 2.0), 0)
 
-    def test_tried_endpoints_are_avoided(self):
+    def test_endpoints_tried_before_are_not_chosen(self):
         book = _book(_reg("a"), _reg("b"))
         self.assertEqual(_choose(book, avoid=["a"]), "b")
 
 
-class TrustTest(unittest.TestCase):
-    def test_a_dark_endpoint_rests_and_comes_back(self):
+class EjectionTest(unittest.TestCase):
+    def test_an_unreachable_endpoint_is_ejected_and_comes_back(self):
         book = _book(_reg("a"), _reg("b", THERE))
         endpoint = book.choose(Need(S), 1, 100, [], 1.0).endpoint
         book.failed(endpoint, True, 1.0)
@@ -148,7 +148,7 @@
         self.assertEqual(_choose(book, now_s=1.0 + EJECT_S / 2), "b")
         self.assertEqual(_choose(book, now_s=1.0 + 2 * EJECT_S), "a")
 
-    def test_one_that_answers_failures_well_looking_is_avoided(self):
+    def test_an_endpoint_with_a_grey_failure_is_ejected(self):
         book = _book(_reg("a"), _reg("b", THERE))
         grey = book.choose(Need(S), 1, 100, [], 1.0).endpoint
         for _ in range(10):
@@ -156,10 +156,9 @@
         self.assertEqual(_choose(book, now_s=1.1), "b")
 
     def test_a_service_that_fails_evenly_loses_no_endpoint(self):
-        """Symptom: a healthy service whose answers are failures by nature
-        (a seat that is taken) lost its endpoints one after the other.
-
-        Cause: failures were counted without those of its neighbours.
+        """A healthy service whose answers are often failures by nature (a seat that is
+        taken) had its endpoints ejected one after the other, because the failure rate
+        of an endpoint was not compared with those of its peers.
         """
         book = _book(_reg("a"), _reg("b"))
         both = [
@@ -177,15 +176,15 @@
     return attrs.evolve(_reg("a"), born_ms=born_ms, sequence=sequence, **fields)
 
 
-class StartedAgainTest(unittest.TestCase):
-    def test_what_was_known_of_the_start_before_is_dropped(self):
-        """Symptom: prompts were sent to an engine as if it kept their parts, and
-        had their first token late; one that had crashed while busy got no work.
+class RestartTest(unittest.TestCase):
+    def test_a_restart_resets_the_state_of_an_endpoint(self):
+        """Prompts were sent to a restarted engine as if it had their parts in its
+        cache, and had a late first token; an engine that had crashed while busy got no
+        requests.
 
-        Sequence: an engine crashes with requests in progress and starts again
-        under its id; it keeps nothing and runs nothing. Its entry still counts
-        the parts, the running requests, the failures and the slowness of before.
-        Cause: a start was told apart by its id alone.
+        An engine crashes with requests in progress and restarts under its id, with an
+        empty cache and no requests. The entry told processes apart only by id, and kept
+        the cached parts, running requests, failures and slowness of the old process.
         """
         book = _book(_start(1_000))
         before = book.choose(PROMPT, 1, 100, [], 0.0).endpoint
@@ -197,7 +196,7 @@
         self.assertIsNot(now, before)
         self.assertEqual((now.running, now.failures, now.slowness), (0, 0, 1.0))
         self.assertEqual(now.unread(PROMPT, False, 1.0), PROMPT.prompt_tokens)
-        # The end of a request of before is no end of one of now.
+        # The end of a request at the old process doesn't count for the new one.
         sent.end(1.5, plain=False)
         self.assertEqual(now.running, 0)
 
@@ -207,29 +206,27 @@
         (_start(1_000, 3), _start(1_000, 2), Registered.STALE),
         (_start(1_000, 3), _start(1_000, 3), Registered.SAME),
         (_start(1_000, 3), _start(1_000, 4, draining=True), Registered.CHANGED),
-        # An endpoint that does not tell its start is not taken for another.
+        # A record without a start time doesn't show a restart.
         (_start(0, 3), _start(1_000, 4), Registered.SAME),
     )
     def test_the_order_of_records(self, known, read, expected):
         book = _book(known)
         self.assertIs(book.register(read, 1.0), expected)
 
-    def test_a_late_record_does_not_call_a_leaving_endpoint_back(self):
-        """Symptom: new requests reached an endpoint that had said it leaves.
-
-        Sequence: it writes ``ready``, then ``draining``; the first lands behind
-        the second. Cause: the record read last counted.
+    def test_a_late_record_does_not_reactivate_a_draining_endpoint(self):
+        """New requests reached a draining endpoint: it writes ``ready``, then
+        ``draining``, the first record lands after the second, and the last one read
+        counted.
         """
         book = _book(_start(1_000, 4, draining=True))
         book.register(_start(1_000, 3), 1.0)
         self.assertIsNone(_choose(book))
 
-    def test_a_start_that_ended_long_ago_does_not_come_back(self):
-        """Symptom: requests were sent to a process that was gone.
+    def test_a_late_record_does_not_register_a_removed_endpoint(self):
+        """Requests were sent to a process that was gone.
 
-        Sequence: an endpoint starts again and leaves for good; its id is
-        forgotten; then a record of its first start lands.
-        Cause: what an id was known by went with it.
+        An endpoint restarts, leaves for good and is removed; then a record of its first
+        process lands. The last record of an id was removed together with it.
         """
         book = _book(_start(2_000, 5))
         book.dropped(EndpointId("a"), 1.0)
@@ -238,45 +235,50 @@
         self.assertIsNone(_choose(book, now_s=9.0))
 
 
-class ClaimedMeanwhileTest(unittest.TestCase):
+class AvailabilityTest(unittest.TestCase):
     @params(
-        ("nothing", lambda b: None, True),
+        ("nothing happens", lambda b: None, True),
         ("it drains", lambda b: b.register(DRAINS, 1.0), False),
-        ("it is gone", lambda b: b.dropped(EndpointId("a"), 1.0), False),
         (
-            "it started again",
+            "its registration disappears",
+            lambda b: b.dropped(EndpointId("a"), 1.0),
+            False,
+        ),
+        (
+            "it restarts",
             lambda b: b.register(attrs.evolve(_reg("a"), born_ms=2), 1.0),
             False,
         ),
     )
-    def test_an_endpoint_chosen_before_a_wait_may_have_left(self, _, happens, takes):
-        """A trial was sent to an endpoint that left while the others were told."""
+    def test_a_chosen_endpoint_is_available_unless_it_left(self, _, act, available):
+        """A probe was sent to an endpoint that had left while the probe was announced
+        to the other entries."""
         book = _book(attrs.evolve(_reg("a"), born_ms=1))
         chosen = book.choose(Need(S), 1, 100, [], 0.0)
-        happens(book)
-        self.assertEqual(book.takes_work(chosen.endpoint), takes)
+        act(book)
+        self.assertEqual(book.takes_work(chosen.endpoint), available)
 
 
 class LapsedRegistrationTest(unittest.TestCase):
-    """Symptom: no endpoint for two seconds after each outage of the store.
+    """There was no endpoint for two seconds after each outage of the store.
 
-    Sequence: registrations lapse while the store is away; on its return all
-    are dropped, and written again up to two seconds later.
-    Cause: a dropped registration counted as an endpoint that left.
+    Registrations expire while the store is unreachable. When it is back all of them are
+    gone and are written again up to two seconds later. An expired registration counted
+    as an endpoint that had left.
     """
 
-    def test_it_serves_on_for_a_while_if_it_is_the_only_one(self):
+    def test_the_only_endpoint_is_used_for_the_grace_period(self):
         book = _book(_reg("a"))
         book.dropped(EndpointId("a"), 1.0)
         self.assertEqual(_choose(book, now_s=1.0 + GONE_GRACE_S / 2), "a")
         self.assertIsNone(_choose(book, now_s=1.1 + GONE_GRACE_S))
 
-    def test_but_not_if_its_record_is_none(self):
+    def test_an_endpoint_with_an_unusable_record_has_no_grace_period(self):
         book = _book(_reg("a"))
         book.disowned(EndpointId("a"), 1.0)
         self.assertIsNone(_choose(book, now_s=1.0))
 
-    def test_but_not_if_another_stands(self):
+    def test_a_registered_endpoint_is_preferred(self):
         book = _book(_reg("a"), _reg("b", THERE))
         book.dropped(EndpointId("a"), 1.0)
         self.assertEqual(_choose(book, now_s=1.1), "b")
@@ -305,42 +307,42 @@
         ("other", "/x", "/"),
         ("nobody", "/a/", None),
     )
-    def test_longest_prefix_of_the_host(self, host, path, expected):
+    def test_the_longest_prefix_of_the_host_matches(self, host, path, expected):
         route = self.table.match(host, path)
         self.assertEqual(route.prefix if route else None, expected)
 
     @params(("k1", "t"), ("k2", "t"), ("k3", None))
-    def test_keys(self, key, expected):
+    def test_an_account_is_found_by_each_of_its_keys(self, key, expected):
         account = self.table.account_by_key(key)
         self.assertEqual(account.account_id if account else None, expected)
 
     @params((0.0, "s"), (0.89, "s"), (0.91, "t"), (0.999, "t"))
-    def test_split(self, point, expected):
+    def test_services_are_drawn_by_weight(self, point, expected):
         services = ((S, 90.0), (ServiceName("t"), 10.0))
         self.assertEqual(pick_service(_route("/", services=services), point), expected)
 
 
 class EventCutterTest(unittest.TestCase):
     @params(
-        # chunks, whole events passed on, last id, half an event left
+        # chunks, complete events (None: all bytes), last id, has an incomplete event
         ([b"id: 1\ndata: a\n\n"], b"id: 1\ndata: a\n\n", "1", False),
         ([b"id: 1\nda", b"ta: a\n\nid: 2"], b"id: 1\ndata: a\n\n", "1", True),
         ([b"id:7\ndata: a\n", b"\nid:8\ndata: b\n\n"], None, "8", False),
         ([b"data: no id\n\n"], b"data: no id\n\n", None, False),
     )
-    def test_cut(self, chunks, passed, last_id, partial):
+    def test_only_complete_events_are_returned(self, chunks, passed, last_id, partial):
         cutter = EventCutter()
-        whole = [cutter.feed(chunk) for chunk in chunks]
-        got = b"".join(events.data for events in whole if events)
+        batches = [cutter.feed(chunk) for chunk in chunks]
+        got = b"".join(batch.data for batch in batches if batch)
         self.assertEqual(got, passed or b"".join(chunks))
         self.assertEqual(cutter.last_id, last_id)
         self.assertIs(cutter.partial, partial)
 
-    def test_a_half_event_is_forgotten_when_the_stream_goes_on_elsewhere(self):
-        """Symptom: an event spoilt in the middle of a resumed stream.
+    def test_an_incomplete_event_is_discarded_when_the_stream_resumes(self):
+        """An event was corrupted in a resumed stream.
 
-        Sequence: an endpoint dies in the middle of an event; the next one
-        sends that event again whole. Cause: the half was kept before it.
+        An endpoint crashes in the middle of an event, and the next one sends the whole
+        event again. The incomplete event was kept in front of it.
         """
         cutter = EventCutter()
         cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
