--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that end the endpoints that run them."""
+"""Requests that crash the endpoints that run them, in a fleet of gateways."""
 
 import asyncio
 import datetime
@@ -26,19 +26,19 @@
 from tests.gateway_fleet import Endpoint, Fleet
 
 KNOWN_WITHIN_S = 3.0
-"""Within it the whole fleet knows that a request ended three endpoints."""
+"""Longest time until the whole fleet knows that a request crashed three endpoints."""
 MOST_AFTER = 3
-"""Times that such a request may reach endpoints later than that."""
+"""Most times that such a request may reach endpoints later than that."""
 AT_ONCE_S = 0.1
 
 
-def _known(gateway: Gateway) -> list[Standing]:
+def _states(gateway: Gateway) -> list[Standing]:
     suspects = gateway.suspects.book.suspects(time.monotonic())
     return [suspect.standing for suspect in suspects]
 
 
-def _shut_out(gateway: Gateway) -> bool:
-    return _known(gateway)[:1] == [Standing.SHUT_OUT]
+def _is_quarantined(gateway: Gateway) -> bool:
+    return _states(gateway)[:1] == [Standing.SHUT_OUT]
 
 
 def _lose_notes(fleet: Fleet) -> None:
@@ -46,27 +46,27 @@
         gateway.notes.tell_findings = lambda addresses, findings: None  # type: ignore[method-assign]
 
 
-async def _convict(fleet: Fleet, run: CrashRun) -> None:
-    """Have a marked request end three endpoints, and all entries know it."""
-    while not all(_shut_out(gateway) for gateway in fleet.gateways):
+async def _quarantine_everywhere(fleet: Fleet, run: CrashRun) -> None:
+    """Repeat the crashing request until all entries have it in quarantine."""
+    while not all(_is_quarantined(gateway) for gateway in fleet.gateways):
         await run.ask(run.marked, MARKER)
         await asyncio.sleep(0.05)
 
 
 class CrashingRequestTest(unittest.IsolatedAsyncioTestCase):
     def _assert_bounded(self, run: CrashRun) -> None:
-        self.assertGreaterEqual(len(run.ended), 3, "it was not run often enough")
+        self.assertGreaterEqual(len(run.ended), 3, "the request ran too rarely")
         late = run.marked_after(run.ended[2] + KNOWN_WITHIN_S)
         self.assertLessEqual(len(late), MOST_AFTER, run.marked.by_status)
 
-    async def test_a_crashing_request_is_not_sent_again_and_again(self) -> None:
-        """BUDGET: one request, at whatever entry, ended endpoint after endpoint."""
+    async def test_a_crashing_request_reaches_few_endpoints(self) -> None:
+        """A request repeated at any entry crashed one endpoint after the other."""
         async with Fleet(gateways=4) as fleet, CrashRun(fleet, 12, seed=1) as run:
             await run.play(8.0)
             self._assert_bounded(run)
 
     async def test_harmless_requests_beside_it_are_served(self) -> None:
-        """A quarter of the harmless requests broke with the endpoints they were at."""
+        """A quarter of the harmless requests failed when their endpoints crashed."""
         async with Fleet(gateways=4) as fleet, CrashRun(fleet, 12, seed=2) as run:
             await run.play(6.0)
             served = run.harmless.by_status.get(200, 0)
@@ -74,11 +74,11 @@
             self.assertNotIn(429, run.harmless.by_status)
 
     @params("notes", "log")
-    def test_it_is_known_everywhere_though_one_way_is_lost(self, lost: str) -> None:
-        """One try by each entry that had not heard of it broke the bound."""
-        asyncio.run(self._without(lost))
+    def test_notes_or_the_log_alone_suffice(self, lost: str) -> None:
+        """The limit was exceeded by one attempt of each entry without the evidence."""
+        asyncio.run(self._without_one_channel(lost))
 
-    async def _without(self, lost: str) -> None:
+    async def _without_one_channel(self, lost: str) -> None:
         async with Fleet(gateways=6) as fleet, CrashRun(fleet, 12, seed=3) as run:
             if lost == "notes":
                 _lose_notes(fleet)
@@ -90,21 +90,22 @@
             self.assertLessEqual(len(run.ended), 3 + len(fleet.gateways))
 
     @params("/once/x", "/stream/x", "/resume/x")
-    def test_every_kind_of_request_is_known_by_its_endings(self, path: str) -> None:
-        """A stream that goes on elsewhere, or a call sent once, ended them as well."""
-        asyncio.run(self._of_kind(path))
+    def test_every_kind_of_request_is_quarantined(self, path: str) -> None:
+        """Resumed streams and calls sent at most once crashed endpoints as well."""
+        asyncio.run(self._play_path(path))
 
-    async def _of_kind(self, path: str) -> None:
+    async def _play_path(self, path: str) -> None:
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 8, seed=4) as run:
             await run.play(5.0, path=path, harmless_per_s=5.0)
             self._assert_bounded(run)
 
     @params(0.0, 1.2)
-    def test_it_is_known_however_long_it_runs_before(self, work_s: float) -> None:
-        """One ended them at its first byte, another after more than a second."""
-        asyncio.run(self._lasting(work_s))
+    def test_the_time_until_the_crash_does_not_matter(self, work_s: float) -> None:
+        """One request crashed endpoints at its first byte, another after more than a
+        second."""
+        asyncio.run(self._play_work(work_s))
 
-    async def _lasting(self, work_s: float) -> None:
+    async def _play_work(self, work_s: float) -> None:
         async with (
             Fleet(gateways=2) as fleet,
             CrashRun(fleet, 12, seed=5, work_s=work_s) as run,
@@ -112,31 +113,35 @@
             await run.play(7.0, harmless_per_s=3.0)
             self._assert_bounded(run)
 
-    async def test_an_entry_that_starts_knows_before_it_serves(self) -> None:
-        """Each new start gave a request that was known three more endpoints."""
+    async def test_a_new_entry_reads_the_evidence_before_it_serves(self) -> None:
+        """A quarantined request could crash three more endpoints through each entry
+        that was restarted."""
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 8, seed=6) as run:
-            await _convict(fleet, run)
+            await _quarantine_everywhere(fleet, run)
             await fleet.add_gateway()
             ended = len(run.ended)
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 429)
             self.assertEqual(len(run.ended), ended)
 
-    async def test_it_stays_known_when_the_log_comes_back_from_an_older_copy(
+    async def test_evidence_survives_a_log_restored_from_an_older_copy(
         self,
     ) -> None:
-        """A log that lost the records let a new start try what all others knew."""
+        """The restored log had lost the records, and a restarted entry sent a request
+        that all other entries had in quarantine."""
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 8, seed=7) as run:
             older = fleet.log.copy()
-            await _convict(fleet, run)
+            await _quarantine_everywhere(fleet, run)
             await fleet.log.restore_after(older, 0.3)
             records = fleet.log.topic(SUSPECTS_TOPIC)
             await fleet.until(lambda: len(records.newest()) > 0)
             await fleet.add_gateway()
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 429)
 
-    async def test_the_refusal_comes_at_once_says_when_and_costs_nothing(self) -> None:
+    async def test_the_refusal_is_immediate_has_retry_after_and_costs_nothing(
+        self,
+    ) -> None:
         async with Fleet(gateways=1) as fleet, CrashRun(fleet, 8, seed=8) as run:
-            await _convict(fleet, run)
+            await _quarantine_everywhere(fleet, run)
             book = fleet.gateways[0].keeper.book
             left = book.left_tokens(AccountId("t"), time.monotonic())
             began_s = time.monotonic()
@@ -150,12 +155,12 @@
             after = book.left_tokens(AccountId("t"), time.monotonic())
             self.assertEqual(after, left)
 
-    async def test_it_is_tried_again_once_all_endpoints_are_of_another_build(
+    async def test_it_is_probed_once_all_endpoints_have_another_build(
         self,
     ) -> None:
-        """Mended software kept refusing what it could run."""
+        """Requests stayed in quarantine after the software was fixed."""
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 6, seed=9) as run:
-            await _convict(fleet, run)
+            await _quarantine_everywhere(fleet, run)
             await fleet.until(lambda: all(e.listens for e in run.endpoints))
             for endpoint in run.endpoints:
                 endpoint.harmed = False
@@ -163,15 +168,15 @@
             known = fleet.gateways[1].endpoints
             await fleet.until(lambda: len(known.ids()) == len(run.endpoints))
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=1), 200)
-            await fleet.until(lambda: not any(_known(g) for g in fleet.gateways))
+            await fleet.until(lambda: not any(_states(g) for g in fleet.gateways))
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=0), 200)
 
-    async def test_an_operator_sees_what_is_shut_out_and_lifts_it(self) -> None:
-        """Nobody could tell what was refused, nor let it back."""
+    async def test_an_operator_can_list_and_lift_quarantines(self) -> None:
+        """Operators could neither see which requests were refused nor allow them."""
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 8, seed=12) as run:
             store = StoreClient(fleet.gateways[0].settings.store_address)
             self.addAsyncCleanup(store.close)
-            await _convict(fleet, run)
+            await _quarantine_everywhere(fleet, run)
             view = await read_suspects(store)
             (suspect,) = view.book.suspects(time.monotonic())
             (row,) = suspect_rows(view, time.monotonic())
@@ -182,22 +187,22 @@
             with self.assertRaises(SuspectsError):
                 await lift_suspect(store, "ff" * 16)
             await lift_suspect(store, suspect.fingerprint.hex()[:8])
-            await fleet.until(lambda: not any(_known(g) for g in fleet.gateways))
+            await fleet.until(lambda: not any(_states(g) for g in fleet.gateways))
             await fleet.add_gateway()
-            self.assertEqual(_known(fleet.gateways[2]), [])
+            self.assertEqual(_states(fleet.gateways[2]), [])
             for endpoint in run.endpoints:
                 endpoint.harmed = False
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 200)
 
-    async def test_a_record_that_is_none_does_no_harm(self) -> None:
+    async def test_a_malformed_record_is_ignored(self) -> None:
         async with Fleet(gateways=1) as fleet, CrashRun(fleet, 6, seed=10) as run:
             fleet.log.put(SUSPECTS_TOPIC, "somebody", b"\x01\x02")
-            await _convict(fleet, run)
+            await _quarantine_everywhere(fleet, run)
             self.assertEqual(await run.ask(run.marked, MARKER), 429)
 
 
 class ClaimTest(unittest.IsolatedAsyncioTestCase):
-    """Trials that come to nothing before they are sent."""
+    """Claims of probes that end before the request is sent."""
 
     async def asyncSetUp(self) -> None:
         self.known = fingerprint_of(Place(b"place!"), MARKER)
@@ -207,8 +212,9 @@
             ending = Ending(EndpointId(f"i-{number}"))
             self.keeper.book.witnessed(ending, [self.known], time.monotonic())
 
-    async def test_a_caller_that_leaves_while_the_others_are_told(self) -> None:
-        """Its claim stood until its deadline, and nobody tried the request."""
+    async def test_a_cancelled_claim_is_released(self) -> None:
+        """The caller left while the claim was published. The claim then lasted until
+        its deadline, and no entry could probe the request."""
         self.fleet.log.silent = True
         trial = Trial(self.known, EndpointId("i-9"), 60.0)
         claim = asyncio.create_task(self.keeper.claim(trial, []))
@@ -221,10 +227,11 @@
         self.fleet.log.silent = False
 
     @params(("e0@127.0.0.1", True), ("another", False))
-    def test_while_the_log_takes_nothing_the_first_in_line_alone_tries(
+    def test_without_the_log_only_the_first_in_hash_order_may_probe(
         self, first: str, may: bool
     ) -> None:
-        """With the log away each entry could try what no other had heard of."""
+        """While the log was unreachable each entry could begin a probe of which the
+        others didn't know."""
         asyncio.run(self._first_in_line(first, may))
 
     async def _first_in_line(self, first: str, may: bool) -> None:
@@ -248,7 +255,7 @@
 
 
 class EvidenceTest(unittest.IsolatedAsyncioTestCase):
-    """What is not taken for the doing of a request."""
+    """Failures that don't count as a crash under a request."""
 
     async def _reset(self, request: web.BaseRequest) -> web.StreamResponse:
         assert request.transport is not None
@@ -259,32 +266,32 @@
         await asyncio.sleep(60)
         return web.Response()
 
-    async def test_a_connection_that_was_reset(self) -> None:
-        """Lossy links and resets had requests shut out."""
+    async def test_a_connection_reset_is_no_crash(self) -> None:
+        """Requests were quarantined for lossy links and connection resets."""
         async with Fleet(Endpoint("i-1", self._reset), gateways=1) as fleet:
             for number in range(4):
                 await fleet.ask("/once/x", f"r{number}")
             await asyncio.sleep(0.5)
-            self.assertEqual(_known(fleet.gateways[0]), [])
+            self.assertEqual(_states(fleet.gateways[0]), [])
 
-    async def test_an_endpoint_that_is_silent_until_the_time_is_up(self) -> None:
-        """Endpoints that went dark were taken for endpoints that ended."""
+    async def test_a_timeout_is_no_crash(self) -> None:
+        """Endpoints that became unreachable counted as crashed."""
         async with Fleet(Endpoint("i-1", self._silent), gateways=1) as fleet:
             status, _, _ = await fleet.ask("/once/x", X_Deadline_Ms="200")
             self.assertEqual(status, 504)
             await asyncio.sleep(0.4)
-            self.assertEqual(_known(fleet.gateways[0]), [])
+            self.assertEqual(_states(fleet.gateways[0]), [])
 
-    async def test_a_caller_that_left(self) -> None:
+    async def test_a_caller_that_leaves_is_no_crash(self) -> None:
         async with Fleet(Endpoint("i-1", self._silent), gateways=1) as fleet:
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await fleet.ask("/once/x")
             await asyncio.sleep(0.4)
-            self.assertEqual(_known(fleet.gateways[0]), [])
+            self.assertEqual(_states(fleet.gateways[0]), [])
 
-    async def test_an_endpoint_that_leaves(self) -> None:
-        """Planned stops of endpoints had long streams shut out."""
+    async def test_the_end_of_a_draining_endpoint_is_no_crash(self) -> None:
+        """Long streams were quarantined for planned stops of endpoints."""
         async with (
             Fleet(gateways=1) as fleet,
             CrashRun(fleet, 1, seed=1, work_s=10.0) as run,
@@ -300,10 +307,11 @@
             endpoint.end("i-0-1")
             self.assertEqual(await asked, 502)
             await asyncio.sleep(0.4)
-            self.assertEqual(_known(fleet.gateways[0]), [])
+            self.assertEqual(_states(fleet.gateways[0]), [])
 
-    async def test_a_process_that_starts_again_under_its_id(self) -> None:
-        """A restart at once, under the old id, refused no connection."""
+    async def test_an_immediate_restart_under_the_same_id_is_a_crash(self) -> None:
+        """A process that was restarted at once, under its old id, refused no
+        connection, and its crash was not detected."""
         async with Fleet(Endpoint("i-1", self._silent), gateways=1) as fleet:
             (endpoint,) = fleet.endpoints
             gateway = fleet.gateways[0]
@@ -319,12 +327,12 @@
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", endpoint.registration(born=2_000))
             status, _, _ = await asked
             self.assertEqual(status, 502)
-            await fleet.until(lambda: _known(gateway) == [Standing.WATCHED])
+            await fleet.until(lambda: _states(gateway) == [Standing.WATCHED])
 
 
 class ManyRequestsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_two_crashing_requests_at_once_are_both_found(self) -> None:
-        """Two at the same time, and all that ran beside them shared the blame."""
+    async def test_two_crashing_requests_at_once_are_both_quarantined(self) -> None:
+        """All requests that ran beside two crashing ones were suspected too."""
         async with Fleet(gateways=3) as fleet, CrashRun(fleet, 12, seed=11) as run:
             other = Answers()
 
@@ -338,16 +346,14 @@
             served = run.harmless.by_status.get(200, 0)
             self.assertGreaterEqual(served, 0.95 * run.harmless.asked)
 
-    async def test_nothing_is_written_or_told_while_nothing_is_under_suspicion(
-        self,
-    ) -> None:
-        """Each write of each of hundreds of entries is paid for."""
+    async def test_nothing_is_written_without_suspects(self) -> None:
+        """With hundreds of entries, each write to the store costs."""
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 2, seed=12) as run:
             await run.repeat(20.0, 1.5, lambda: run.ask(run.harmless, b"harmless"))
             self.assertEqual(fleet.log.topic(SUSPECTS_TOPIC).records, [])
 
-    def test_a_large_body_is_read_quickly_enough(self) -> None:
-        """A digest that held up the relayed streams of an entry."""
+    def test_a_large_body_is_hashed_quickly(self) -> None:
+        """Hashing of large bodies delayed the streams that an entry relays."""
         place = Place(b"place!")
         body = bytes(4 * 1024 * 1024)
         began_s = time.perf_counter()
