--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -22,7 +22,7 @@
     encode_findings,
 )
 from celerytrack.platform.topics import SUSPECTS_TOPIC
-from celerytrack.suspects import Suspect, SuspectBook
+from celerytrack.suspects import Suspect, SuspectTracker
 
 OPERATOR = EntryId("operator")
 """The key of the operators' own record."""
@@ -42,7 +42,7 @@
     """
 
     def __init__(self) -> None:
-        self.book = SuspectBook(OPERATOR)
+        self.book = SuspectTracker(OPERATOR)
         self.own = Findings(OPERATOR)
         self.since_s: dict[Fingerprint, int] = {}
 
--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -22,7 +22,7 @@
 from celerytrack.replica_load import Ask, ReplicaLoad
 from celerytrack.routing import retry_after_s
 from celerytrack.settings import Account, BackendKind, Config, WorkClass
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, did_not_run, may_have_run
 
 GRANT_WAIT_S = 1.0
@@ -153,10 +153,10 @@
         return refuse(state.metrics, name, exc.refusal, rid)
 
 
-def standing_of(state: EntryState, admitted: Admitted, now_s: float) -> Standing:
+def standing_of(state: EntryState, admitted: Admitted, now_s: float) -> SuspectState:
     """What a request is taken for: replicas may have ended under it."""
     if not state.suspects.book:
-        return Standing.CLEAR
+        return SuspectState.CLEAR
     return state.suspects.standing(admitted.fingerprint, admitted.work, now_s)
 
 
@@ -165,7 +165,7 @@
 
     :raises RefusedError: if replicas ended under the request time and again.
     """
-    if standing_of(state, admitted, now_s) is Standing.SHUT_OUT:
+    if standing_of(state, admitted, now_s) is SuspectState.QUARANTINED:
         raise RefusedError(state.suspects.held_back(admitted.fingerprint, now_s))
 
 
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -19,7 +19,7 @@
 from celerytrack.process_end import ENDING_KNOWN_S, has_ended
 from celerytrack.settings import WorkClass
 from celerytrack.suspect_logs import log_shut_out
-from celerytrack.suspects import Standing, SuspectBook
+from celerytrack.suspects import SuspectState, SuspectTracker
 from celerytrack.verdict import Reason, Refusal, did_not_run
 
 _log = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
     """Which requests end replicas, as this entry knows it."""
 
     def __init__(self, entry_id: EntryId) -> None:
-        self.book = SuspectBook(entry_id)
+        self.book = SuspectTracker(entry_id)
         self._at: Counter[ReplicaId] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -69,7 +69,9 @@
         """Take what another entry's heartbeat tells."""
         self.book.heard(findings, True, now_s)
 
-    def standing(self, known: Fingerprint, work: WorkClass, now_s: float) -> Standing:
+    def standing(
+        self, known: Fingerprint, work: WorkClass, now_s: float
+    ) -> SuspectState:
         """What a request is taken for."""
         return self.book.standing(known, {work.model}, now_s)
 
@@ -81,12 +83,12 @@
         after_s = max(after_s, TRIAL_USUALLY_S)
         return did_not_run(Reason.QUARANTINED, after_s, detail)
 
-    def apart(self, standing: Standing, now_s: float) -> frozenset[ReplicaId]:
+    def apart(self, standing: SuspectState, now_s: float) -> frozenset[ReplicaId]:
         """The replicas that a request should not meet."""
         if not self.book:
             return frozenset()
         names = {ReplicaId(name) for name in self.book.endpoints_on_trial(now_s)}
-        if standing is not Standing.CLEAR:
+        if standing is not SuspectState.CLEAR:
             names.update(self._at.elements())
         return frozenset(names)
 
@@ -164,5 +166,5 @@
             fingerprints=[known.hex()],
         )
         suspect = self.book.suspect(known, now_s)
-        if suspect.standing is Standing.SHUT_OUT:
+        if suspect.standing is SuspectState.QUARANTINED:
             log_shut_out(_log, suspect)
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -22,7 +22,7 @@
 from celerytrack.retries import backoff_s, may_retry
 from celerytrack.routing import Placement, predicted_s
 from celerytrack.settings import WorkClass
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
 
 _log = logging.getLogger(__name__)
@@ -132,7 +132,7 @@
         if state.attempts_limit.is_over(time.monotonic()):
             return Failure(tries.refusal or not_begun())
         standing = standing_of(state, admitted, time.monotonic())
-        if standing is Standing.SHUT_OUT:
+        if standing is SuspectState.QUARANTINED:
             return Failure(tries.refusal or _held_back(state, admitted))
         try:
             replica = _place(state, admitted, tries, ask, standing)
@@ -140,14 +140,14 @@
             if tries.refusal is not None:
                 _log_given_up(request_id, GivenUp.NO_REPLICA, exc.refusal)
             return Failure(tries.refusal or exc.refusal)
-        if standing is Standing.ALONE and not await state.suspects.claim(
+        if standing is SuspectState.PROBE_ONLY and not await state.suspects.claim(
             admitted.fingerprint, replica.replica_id, TRIAL_MOST_S
         ):
             return Failure(tries.refusal or _held_back(state, admitted))
         now_s = time.time()
         guess_s = predicted_s(replica, replica.load(now_s), ask, Placement())
         sent = replica.send(ask, guess_s, now_s)
-        suspected = standing is not Standing.CLEAR
+        suspected = standing is not SuspectState.CLEAR
         if suspected:
             state.suspects.sent(replica.replica_id)
         try:
@@ -185,7 +185,7 @@
     admitted: Admitted,
     tries: _Tries,
     ask: Ask,
-    standing: Standing,
+    standing: SuspectState,
 ) -> ReplicaLoad:
     """A replica for the next attempt, apart from suspects where there is room.
 
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -45,7 +45,7 @@
 from celerytrack.loop_time import loop_time
 from celerytrack.planned_stop import Lasting, PlannedStop
 from celerytrack.prepaid import Reservation
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
 
 _log = logging.getLogger(__name__)
@@ -100,7 +100,7 @@
 
     :raises RefusedError: if endpoints ended under the request time and again.
     """
-    if standing_of(gateway, exchange, now_s) is Standing.SHUT_OUT:
+    if standing_of(gateway, exchange, now_s) is SuspectState.QUARANTINED:
         raise RefusedError(held_back(gateway, exchange, now_s))
 
 
@@ -200,14 +200,14 @@
     if gateway.endpoints_late(now_s):
         return Failure(_not_placed("what is known of endpoints is too old"))
     standing = standing_of(gateway, exchange, now_s)
-    if standing is Standing.SHUT_OUT:
+    if standing is SuspectState.QUARANTINED:
         return Failure(not_sent(gateway, exchange, now_s))
     chosen = choose(gateway, exchange, standing, now_s)
     if chosen is None:
         return Failure(_not_placed("none has room"))
-    if standing is Standing.CLEAR:
+    if standing is SuspectState.CLEAR:
         return await _send(gateway, exchange, chosen)
-    if standing is Standing.WATCHED:
+    if standing is SuspectState.WATCHED:
         return await _send_suspect(gateway, exchange, chosen)
     return await _try_alone(gateway, exchange, chosen)
 
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -36,7 +36,7 @@
 from celerytrack.retries import RetryBudget
 from celerytrack.routes import RoutingTable
 from celerytrack.suspect_logs import log_shut_out
-from celerytrack.suspects import MOST_SUSPECTS, Standing
+from celerytrack.suspects import MOST_SUSPECTS, SuspectState
 
 _log = logging.getLogger(__name__)
 
@@ -199,7 +199,7 @@
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
             suspect = self.suspects.book.suspect(fingerprint, now_s)
-            if suspect.standing is not Standing.SHUT_OUT:
+            if suspect.standing is not SuspectState.QUARANTINED:
                 continue
             endings = frozenset(suspect.endings)
             if self._shut_out.get(fingerprint) == endings:
@@ -211,7 +211,11 @@
         """Have the metrics tell how many requests are under suspicion."""
         suspects = self.suspects.book.suspects(time.monotonic())
         counts = collections.Counter(suspect.standing for suspect in suspects)
-        for standing in (Standing.WATCHED, Standing.ALONE, Standing.SHUT_OUT):
+        for standing in (
+            SuspectState.WATCHED,
+            SuspectState.PROBE_ONLY,
+            SuspectState.QUARANTINED,
+        ):
             self.telemetry.suspects.labels(standing.value).set(counts[standing])
 
     def _take_note(self, note: Note) -> None:
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -11,7 +11,7 @@
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import EndpointId
 from celerytrack.process_end import ENDING_KNOWN_S
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run
 
 _log = logging.getLogger(__name__)
@@ -22,11 +22,11 @@
 """When to come back if only an operator's word helps: it may be given meanwhile."""
 
 
-def standing_of(gateway: Gateway, exchange: Exchange, now_s: float) -> Standing:
+def standing_of(gateway: Gateway, exchange: Exchange, now_s: float) -> SuspectState:
     """What the request of ``exchange`` is taken for now."""
     book = gateway.suspects.book
     if not book or not book.watches(exchange.place):
-        return Standing.CLEAR
+        return SuspectState.CLEAR
     builds = gateway.endpoints.builds(exchange.service, now_s)
     return book.standing(exchange.fingerprint, builds, now_s)
 
@@ -50,7 +50,7 @@
 
 
 def choose(
-    gateway: Gateway, exchange: Exchange, standing: Standing, now_s: float
+    gateway: Gateway, exchange: Exchange, standing: SuspectState, now_s: float
 ) -> Choice | None:
     """The endpoint for a request: suspects are kept apart from each other, and others
     from a request that is tried alone, where there is room."""
@@ -61,12 +61,12 @@
     return chosen
 
 
-def _apart(gateway: Gateway, standing: Standing, now_s: float) -> set[EndpointId]:
+def _apart(gateway: Gateway, standing: SuspectState, now_s: float) -> set[EndpointId]:
     book = gateway.suspects.book
     if not book:
         return set()
     apart = book.endpoints_on_trial(now_s)
-    if standing is not Standing.CLEAR:
+    if standing is not SuspectState.CLEAR:
         apart.update(gateway.suspects_at.elements())
     return apart
 
--- a/src/celerytrack/gateway/suspect_keeper.py
+++ b/src/celerytrack/gateway/suspect_keeper.py
@@ -28,7 +28,7 @@
 )
 from celerytrack.platform.topics import SUSPECTS_TOPIC
 from celerytrack.routing import rendezvous
-from celerytrack.suspects import SuspectBook
+from celerytrack.suspects import SuspectTracker
 
 _log = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
         tell: Callable[[Findings], None],
         on_change: Callable[[Findings], None],
     ) -> None:
-        self.book = SuspectBook(entry_id)
+        self.book = SuspectTracker(entry_id)
         self.started = False
         self.entries = 1
         self._store = store
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -22,7 +22,7 @@
 )
 from celerytrack.lab.model_log import ModelLog, ModelStore
 from celerytrack.lab.virtual_time import Clock, on_instance
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 
 MOST_ATTEMPTS = 2
 MOST_UNSENT = 3
@@ -130,9 +130,9 @@
         while sends < MOST_ATTEMPTS and unsent < MOST_UNSENT:
             standing = self._standing(request)
             endpoint = self._choose(standing, tried)
-            if standing is Standing.SHUT_OUT or endpoint is None:
+            if standing is SuspectState.QUARANTINED or endpoint is None:
                 break
-            if standing is Standing.ALONE and not await self._claim(
+            if standing is SuspectState.PROBE_ONLY and not await self._claim(
                 request, endpoint, others
             ):
                 return ModelAnswer.SHUT_OUT
@@ -153,32 +153,32 @@
                 continue
             self._ended_well(request)
             return ModelAnswer.SERVED
-        if self._standing(request) is Standing.SHUT_OUT:
+        if self._standing(request) is SuspectState.QUARANTINED:
             return ModelAnswer.SHUT_OUT
         return ModelAnswer.FAILED
 
     async def _run(
-        self, request: ModelRequest, endpoint: ModelEndpoint, standing: Standing
+        self, request: ModelRequest, endpoint: ModelEndpoint, standing: SuspectState
     ) -> None:
         name = endpoint.endpoint_id
         self._running[name] += 1
-        self._suspects_at[name] += standing is not Standing.CLEAR
+        self._suspects_at[name] += standing is not SuspectState.CLEAR
         try:
             if endpoint.ended_s is None:
                 self._sent(self, request)
             await endpoint.run(request)
         finally:
             self._running[name] -= 1
-            self._suspects_at[name] -= standing is not Standing.CLEAR
+            self._suspects_at[name] -= standing is not SuspectState.CLEAR
 
-    def _standing(self, request: ModelRequest) -> Standing:
+    def _standing(self, request: ModelRequest) -> SuspectState:
         if self.keeper is None or not self._remembers:
-            return Standing.CLEAR
+            return SuspectState.CLEAR
         now_s = asyncio.get_running_loop().time()
         return self.keeper.book.standing(request.fingerprint, {BUILD}, now_s)
 
     def _choose(
-        self, standing: Standing, tried: Sequence[EndpointId]
+        self, standing: SuspectState, tried: Sequence[EndpointId]
     ) -> ModelEndpoint | None:
         assert self.keeper is not None
         now_s = asyncio.get_running_loop().time()
@@ -186,7 +186,7 @@
         known = [e for e in known if e.endpoint_id not in tried]
         sound = [e for e in known if self._avoided_s.get(e.endpoint_id, 0.0) <= now_s]
         apart = self.keeper.book.endpoints_on_trial(now_s)
-        if standing is not Standing.CLEAR:
+        if standing is not SuspectState.CLEAR:
             apart |= {name for name, count in self._suspects_at.items() if count}
         free = [e for e in sound if e.endpoint_id not in apart]
         best = free or sound or known
--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -40,16 +40,16 @@
 the most crashes goes first."""
 
 
-class Standing(enum.Enum):
+class SuspectState(enum.Enum):
     """Whether and how a request may be sent to endpoints."""
 
     CLEAR = "clear"
     WATCHED = "watched"
     """An endpoint crashed while running it; another request may be the cause."""
-    ALONE = "alone"
+    PROBE_ONLY = "alone"
     """Several endpoints crashed while they ran the request: one entry at a time may
     send it, as a probe."""
-    SHUT_OUT = "shut_out"
+    QUARANTINED = "shut_out"
     """The request is not sent to any endpoint."""
 
 
@@ -92,12 +92,12 @@
     """
 
     fingerprint: Fingerprint
-    standing: Standing
+    standing: SuspectState
     endings: tuple[Ending, ...]
     free_in_s: float | None
 
 
-class SuspectBook:
+class SuspectTracker:
     """The suspected requests, as one entry knows them.
 
     :param me: this entry.
@@ -199,7 +199,7 @@
 
     def standing(
         self, fingerprint: Fingerprint, builds: Collection[str], now_s: float
-    ) -> Standing:
+    ) -> SuspectState:
         """Whether and how a request may be sent.
 
         :param builds: builds of the endpoints to which it may be sent. The fault that
@@ -208,17 +208,17 @@
         suspicion = self._suspects.get(fingerprint)
         uncleared = suspicion.uncleared if suspicion else []
         if suspicion is None or not uncleared:
-            return Standing.CLEAR
+            return SuspectState.CLEAR
         if len(uncleared) < ENDINGS_TO_TRY_ALONE:
-            return Standing.WATCHED
+            return SuspectState.WATCHED
         if len(uncleared) < ENDINGS_TO_SHUT_OUT:
-            return Standing.ALONE
+            return SuspectState.PROBE_ONLY
         free_in_s = _quarantine_left_s(suspicion, now_s)
         if free_in_s is None:
-            return Standing.SHUT_OUT
+            return SuspectState.QUARANTINED
         other_builds = builds and not {e.build for e in uncleared} & set(builds)
         may_probe = free_in_s <= 0 or other_builds
-        return Standing.ALONE if may_probe else Standing.SHUT_OUT
+        return SuspectState.PROBE_ONLY if may_probe else SuspectState.QUARANTINED
 
     def back_in_s(self, fingerprint: Fingerprint, now_s: float) -> float | None:
         """Time until a request that is held back may be sent; ``None`` if an operator
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -21,7 +21,7 @@
 from celerytrack.platform.store import StoreClient
 from celerytrack.platform.topics import ENDPOINTS_TOPIC, SUSPECTS_TOPIC
 from celerytrack.routing import rendezvous
-from celerytrack.suspects import QUARANTINES_S, Standing, SuspectBook
+from celerytrack.suspects import QUARANTINES_S, SuspectState, SuspectTracker
 from tests.crashing_endpoints import MARKER, Answers, CrashRun
 from tests.gateway_fleet import Endpoint, Fleet
 
@@ -32,13 +32,13 @@
 AT_ONCE_S = 0.1
 
 
-def _states(gateway: Gateway) -> list[Standing]:
+def _states(gateway: Gateway) -> list[SuspectState]:
     suspects = gateway.suspects.book.suspects(time.monotonic())
     return [suspect.standing for suspect in suspects]
 
 
 def _is_quarantined(gateway: Gateway) -> bool:
-    return _states(gateway)[:1] == [Standing.SHUT_OUT]
+    return _states(gateway)[:1] == [SuspectState.QUARANTINED]
 
 
 def _lose_notes(fleet: Fleet) -> None:
@@ -236,7 +236,7 @@
 
     async def _first_in_line(self, first: str, may: bool) -> None:
         others = [EntryId(name) for name in ("another", "a third", "a fourth")]
-        book = SuspectBook(EntryId("e0@127.0.0.1"))
+        book = SuspectTracker(EntryId("e0@127.0.0.1"))
         known = next(
             known
             for known in (
@@ -327,7 +327,7 @@
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", endpoint.registration(born=2_000))
             status, _, _ = await asked
             self.assertEqual(status, 502)
-            await fleet.until(lambda: _states(gateway) == [Standing.WATCHED])
+            await fleet.until(lambda: _states(gateway) == [SuspectState.WATCHED])
 
 
 class ManyRequestsTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -20,8 +20,8 @@
     MOST_TOLD,
     QUARANTINES_S,
     SUSPECT_KEPT_S,
-    Standing,
-    SuspectBook,
+    SuspectState,
+    SuspectTracker,
 )
 
 ME = EntryId("e0")
@@ -39,8 +39,8 @@
 
 def _book(
     endings: int, fingerprint: Fingerprint = BAD, at_s: float = 0.0
-) -> SuspectBook:
-    book = SuspectBook(ME)
+) -> SuspectTracker:
+    book = SuspectTracker(ME)
     for number in range(endings):
         book.witnessed(_ending(number), [fingerprint], at_s)
     return book
@@ -48,14 +48,14 @@
 
 class StandingTest(unittest.TestCase):
     @params(
-        (0, Standing.CLEAR),
-        (1, Standing.WATCHED),
-        (2, Standing.ALONE),
-        (3, Standing.SHUT_OUT),
-        (6, Standing.SHUT_OUT),
+        (0, SuspectState.CLEAR),
+        (1, SuspectState.WATCHED),
+        (2, SuspectState.PROBE_ONLY),
+        (3, SuspectState.QUARANTINED),
+        (6, SuspectState.QUARANTINED),
     )
     def test_the_state_follows_the_number_of_crashes(
-        self, endings: int, standing: Standing
+        self, endings: int, standing: SuspectState
     ) -> None:
         self.assertEqual(_book(endings).standing(BAD, {V1}, 1.0), standing)
 
@@ -64,43 +64,45 @@
         for entry in "abc":
             seen = (Evidence(BAD, _ending(0)),)
             book.heard(Findings(EntryId(entry), seen), False, 1.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.WATCHED)
+        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.WATCHED)
 
     def test_crashes_of_restarts_under_one_id_all_count(self) -> None:
-        book = SuspectBook(ME)
+        book = SuspectTracker(ME)
         for born_ms in (1, 2, 3):
             ending = Ending(EndpointId("i-0"), born_ms, V1)
             book.witnessed(ending, [BAD], 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
+        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_evidence_of_several_entries_adds_up(self) -> None:
         """Many entries that each sent the request once crashed more endpoints than the
         limit allows."""
-        book = SuspectBook(ME)
+        book = SuspectTracker(ME)
         for number in range(3):
             seen = (Evidence(BAD, _ending(number)),)
             book.heard(Findings(EntryId(f"x{number}"), seen), False, 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
+        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_two_crashing_requests_are_quarantined_and_a_successful_one_is_not(
         self,
     ) -> None:
         """A harmless request that ran beside two crashing ones was suspected too."""
-        book = SuspectBook(ME)
+        book = SuspectTracker(ME)
         worse = fingerprint_of(PLACE, b"worse")
         for number in range(3):
             book.witnessed(_ending(number), [BAD, worse, GOOD], 0.0)
             book.forgive(GOOD, 0.1)
         for fingerprint in (BAD, worse):
-            self.assertEqual(book.standing(fingerprint, {V1}, 1.0), Standing.SHUT_OUT)
-        self.assertEqual(book.standing(GOOD, {V1}, 1.0), Standing.CLEAR)
+            self.assertEqual(
+                book.standing(fingerprint, {V1}, 1.0), SuspectState.QUARANTINED
+            )
+        self.assertEqual(book.standing(GOOD, {V1}, 1.0), SuspectState.CLEAR)
 
     def test_cleared_evidence_stays_cleared_when_it_is_reported_again(self) -> None:
         book = _book(2)
         book.forgive(BAD, 1.0)
         seen = tuple(Evidence(BAD, _ending(n)) for n in range(2))
         book.heard(Findings(OTHER, seen), True, 2.0)
-        self.assertEqual(book.standing(BAD, {V1}, 2.0), Standing.CLEAR)
+        self.assertEqual(book.standing(BAD, {V1}, 2.0), SuspectState.CLEAR)
 
 
 class QuarantineEndTest(unittest.TestCase):
@@ -111,32 +113,32 @@
         book = _book(endings)
         self.assertEqual(book.back_in_s(BAD, 0.0), lasts_s)
         early = book.standing(BAD, {V1}, lasts_s - 0.1)
-        self.assertEqual(early, Standing.SHUT_OUT)
-        self.assertEqual(book.standing(BAD, {V1}, lasts_s), Standing.ALONE)
+        self.assertEqual(early, SuspectState.QUARANTINED)
+        self.assertEqual(book.standing(BAD, {V1}, lasts_s), SuspectState.PROBE_ONLY)
 
     def test_after_three_probes_only_an_operator_ends_the_quarantine(self) -> None:
         """Probes of a request that is known to crash endpoints went on for ever."""
         book = _book(6)
         self.assertIsNone(book.back_in_s(BAD, 1e9))
-        self.assertEqual(book.standing(BAD, {V1}, 1e9), Standing.SHUT_OUT)
-        self.assertEqual(book.standing(BAD, {V2}, 1e9), Standing.SHUT_OUT)
+        self.assertEqual(book.standing(BAD, {V1}, 1e9), SuspectState.QUARANTINED)
+        self.assertEqual(book.standing(BAD, {V2}, 1e9), SuspectState.QUARANTINED)
         book.forgive(BAD, 1e9)
-        self.assertEqual(book.standing(BAD, {V1}, 1e9), Standing.CLEAR)
+        self.assertEqual(book.standing(BAD, {V1}, 1e9), SuspectState.CLEAR)
 
     @params(
-        ({V2}, Standing.ALONE),
-        ({V1, V2}, Standing.SHUT_OUT),
-        (set(), Standing.SHUT_OUT),
+        ({V2}, SuspectState.PROBE_ONLY),
+        ({V1, V2}, SuspectState.QUARANTINED),
+        (set(), SuspectState.QUARANTINED),
     )
     def test_a_probe_is_allowed_once_all_builds_differ(
-        self, builds: set[str], standing: Standing
+        self, builds: set[str], standing: SuspectState
     ) -> None:
         self.assertEqual(_book(3).standing(BAD, builds, 1.0), standing)
 
     def test_a_crash_of_another_build_quarantines_again(self) -> None:
         book = _book(3)
         book.witnessed(_ending(9, V2), [BAD], 1.0)
-        self.assertEqual(book.standing(BAD, {V2}, 2.0), Standing.SHUT_OUT)
+        self.assertEqual(book.standing(BAD, {V2}, 2.0), SuspectState.QUARANTINED)
 
 
 class ProbeTest(unittest.TestCase):
@@ -212,16 +214,16 @@
         ]
         book.witnessed(_ending(7), many, 1.0)
         self.assertLessEqual(len(book), MOST_SUSPECTS)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
+        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
         record = book.record(1.0)
         self.assertEqual(len(record.seen), MOST_TOLD)
         self.assertIn(BAD, {evidence.fingerprint for evidence in record.seen})
 
     def test_findings_survive_a_restart_of_the_entry(self) -> None:
         previous = _book(3)
-        book = SuspectBook(ME)
+        book = SuspectTracker(ME)
         book.adopt(previous.record(1.0), 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
+        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
         self.assertEqual(book.record(1.0), previous.record(1.0))
 
     def test_clearing_a_single_crash_is_not_reported(self) -> None:
@@ -253,7 +255,7 @@
         ]
         shuffled = [*sent, *sent[::2]]
         random.Random(seed).shuffle(shuffled)
-        books = (SuspectBook(ME), SuspectBook(ME))
+        books = (SuspectTracker(ME), SuspectTracker(ME))
         for book, findings in zip(books, (sent, shuffled), strict=True):
             for one in findings:
                 book.heard(one, False, 0.0)
