--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -33,7 +33,7 @@
     found = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
     for number in range(3):
         ending = Ending(EndpointId(f"i-{number}"))
-        book.witnessed(ending, found, time.monotonic())
+        book.record_crash(ending, found, time.monotonic())
 
 
 async def _round(fleet: Fleet, requests: int) -> float:
--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -54,7 +54,7 @@
             return
         if key == OPERATOR:
             self.own = findings
-        self.book.heard(findings, True, now_s)
+        self.book.merge(findings, True, now_s)
         for evidence, at_s in zip(findings.seen, findings.seen_at_s, strict=True):
             known_s = self.since_s.get(evidence.fingerprint, at_s)
             self.since_s[evidence.fingerprint] = min(known_s, at_s)
@@ -66,7 +66,7 @@
         """
         found = [
             suspect.fingerprint
-            for suspect in self.book.suspects(now_s)
+            for suspect in self.book.list_suspects(now_s)
             if suspect.fingerprint.hex().startswith(prefix.lower())
         ]
         if len(found) != 1:
@@ -113,7 +113,9 @@
 
 def suspect_rows(view: OperatorView, now_s: float) -> list[dict[str, object]]:
     """The requests under suspicion for people and programs."""
-    return [_row(s, view.since_s[s.fingerprint]) for s in view.book.suspects(now_s)]
+    return [
+        _row(s, view.since_s[s.fingerprint]) for s in view.book.list_suspects(now_s)
+    ]
 
 
 def _row(suspect: Suspect, since_s: int) -> dict[str, object]:
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -62,12 +62,12 @@
         """What the next heartbeat tells."""
         if not self.book:
             return None
-        findings = self.book.record(now_s, time.time())
+        findings = self.book.own_findings(now_s, time.time())
         return None if findings.empty else findings
 
     def hear(self, findings: Findings, now_s: float) -> None:
         """Take what another entry's heartbeat tells."""
-        self.book.heard(findings, True, now_s)
+        self.book.merge(findings, True, now_s)
 
     def standing(
         self, known: Fingerprint, work: WorkClass, now_s: float
@@ -77,7 +77,7 @@
 
     def held_back(self, known: Fingerprint, now_s: float) -> Refusal:
         """The refusal of a request that no replica gets now."""
-        back_in_s = self.book.back_in_s(known, now_s)
+        back_in_s = self.book.retry_after_s(known, now_s)
         after_s = NOT_BY_ITSELF_S if back_in_s is None else back_in_s
         detail = f"replicas ended under request {known.hex()}"
         after_s = max(after_s, TRIAL_USUALLY_S)
@@ -87,7 +87,7 @@
         """The replicas that a request should not meet."""
         if not self.book:
             return frozenset()
-        names = {ReplicaId(name) for name in self.book.endpoints_on_trial(now_s)}
+        names = {ReplicaId(name) for name in self.book.probed_endpoints(now_s)}
         if standing is not SuspectState.CLEAR:
             names.update(self._at.elements())
         return frozenset(names)
@@ -97,15 +97,15 @@
     ) -> bool:
         """Begin to try a request alone; whether this entry may."""
         trial = Trial(known, EndpointId(replica), lasts_s)
-        if self.book.claim(trial, time.monotonic()) is None:
+        if self.book.begin_probe(trial, time.monotonic()) is None:
             return False
         try:
             await asyncio.sleep(TOLD_S)
         except asyncio.CancelledError:
             # The caller left meanwhile.
-            self.book.release(known)
+            self.book.cancel_probe(known)
             raise
-        return self.book.holds(known)
+        return self.book.is_probing(known)
 
     def sent(self, replica: ReplicaId) -> None:
         """A request under suspicion is at ``replica``."""
@@ -118,14 +118,14 @@
     def release(self, request: Fingerprinted) -> None:
         """A trial of the request, if there is one, showed nothing."""
         if self.book:
-            self.book.release(request.fingerprint)
+            self.book.cancel_probe(request.fingerprint)
 
     def ended_well(self, request: Fingerprinted, now_s: float) -> None:
         """A replica answered the request whole."""
         if not self.book:
             return
         known = request.fingerprint
-        told = self.book.forgive(known, now_s)
+        told = self.book.record_success(known, now_s)
         if not told.empty:
             log_event(
                 _log,
@@ -153,11 +153,11 @@
         except TimeoutError:
             ended = False
         if not ended:
-            self.book.release(known)
+            self.book.cancel_probe(known)
             return
         ending = Ending(EndpointId(replica), at_s, model)
         now_s = time.monotonic()
-        self.book.witnessed(ending, [known], now_s)
+        self.book.record_crash(ending, [known], now_s)
         log_event(
             _log,
             Event.ENDPOINT_ENDED,
@@ -165,6 +165,6 @@
             endpoint=replica,
             fingerprints=[known.hex()],
         )
-        suspect = self.book.suspect(known, now_s)
+        suspect = self.book.describe(known, now_s)
         if suspect.standing is SuspectState.QUARANTINED:
             log_shut_out(_log, suspect)
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -178,7 +178,7 @@
         ending = Ending(
             registration.endpoint_id, registration.born_ms, registration.build
         )
-        found = self.suspects.book.witnessed(ending, ended.broken, now_s)
+        found = self.suspects.book.record_crash(ending, ended.broken, now_s)
         self.suspects.publish(found)
         self._log_shut_out(found)
 
@@ -198,7 +198,7 @@
         """Log once who is shut out by what was found."""
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
-            suspect = self.suspects.book.suspect(fingerprint, now_s)
+            suspect = self.suspects.book.describe(fingerprint, now_s)
             if suspect.standing is not SuspectState.QUARANTINED:
                 continue
             endings = frozenset(suspect.endings)
@@ -209,7 +209,7 @@
 
     def count_suspects(self) -> None:
         """Have the metrics tell how many requests are under suspicion."""
-        suspects = self.suspects.book.suspects(time.monotonic())
+        suspects = self.suspects.book.list_suspects(time.monotonic())
         counts = collections.Counter(suspect.standing for suspect in suspects)
         for standing in (
             SuspectState.WATCHED,
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -25,7 +25,7 @@
 def standing_of(gateway: Gateway, exchange: Exchange, now_s: float) -> SuspectState:
     """What the request of ``exchange`` is taken for now."""
     book = gateway.suspects.book
-    if not book or not book.watches(exchange.place):
+    if not book or not book.has_prefix(exchange.place):
         return SuspectState.CLEAR
     builds = gateway.endpoints.builds(exchange.service, now_s)
     return book.standing(exchange.fingerprint, builds, now_s)
@@ -33,7 +33,7 @@
 
 def held_back(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
     """The refusal of a request that no endpoint gets now."""
-    back_in_s = gateway.suspects.book.back_in_s(exchange.fingerprint, now_s)
+    back_in_s = gateway.suspects.book.retry_after_s(exchange.fingerprint, now_s)
     if back_in_s is None:
         back_in_s = NOT_BY_ITSELF_S
     detail = f"endpoints ended under request {exchange.fingerprint.hex()}"
@@ -65,7 +65,7 @@
     book = gateway.suspects.book
     if not book:
         return set()
-    apart = book.endpoints_on_trial(now_s)
+    apart = book.probed_endpoints(now_s)
     if standing is not SuspectState.CLEAR:
         apart.update(gateway.suspects_at.elements())
     return apart
@@ -110,7 +110,7 @@
 def release(gateway: Gateway, exchange: Exchange) -> None:
     """A trial showed nothing; another may begin."""
     keeper = gateway.suspects
-    keeper.publish(keeper.book.release(exchange.fingerprint))
+    keeper.publish(keeper.book.cancel_probe(exchange.fingerprint))
 
 
 def release_when_known(gateway: Gateway, exchange: Exchange) -> None:
@@ -123,9 +123,9 @@
 def ended_well(gateway: Gateway, exchange: Exchange) -> None:
     """An endpoint answered the request whole: what ended others was not its doing."""
     keeper = gateway.suspects
-    if not keeper.book or not keeper.book.watches(exchange.place):
+    if not keeper.book or not keeper.book.has_prefix(exchange.place):
         return
-    findings = keeper.book.forgive(exchange.fingerprint, time.monotonic())
+    findings = keeper.book.record_success(exchange.fingerprint, time.monotonic())
     if findings.empty:
         return
     keeper.publish(findings)
--- a/src/celerytrack/gateway/suspect_keeper.py
+++ b/src/celerytrack/gateway/suspect_keeper.py
@@ -98,7 +98,7 @@
 
     def hear(self, findings: Findings) -> None:
         """Take a note of another entry."""
-        self.book.heard(findings, False, time.monotonic())
+        self.book.merge(findings, False, time.monotonic())
         self._on_change(findings)
 
     async def claim(self, trial: Trial, others: Sequence[EntryId]) -> bool:
@@ -109,7 +109,7 @@
 
         :param others: the other entries alive.
         """
-        findings = self.book.claim(trial, time.monotonic())
+        findings = self.book.begin_probe(trial, time.monotonic())
         if findings is None:
             return False
         self.publish(findings)
@@ -117,12 +117,12 @@
             told = self._writing and await self._is_on_log(TOLD_WITHIN_S)
         except asyncio.CancelledError:
             # The caller left meanwhile, or its time is up.
-            self.publish(self.book.release(trial.fingerprint))
+            self.publish(self.book.cancel_probe(trial.fingerprint))
             raise
         may = told or self._first_in_line(trial.fingerprint, others)
-        if may and self.book.holds(trial.fingerprint):
+        if may and self.book.is_probing(trial.fingerprint):
             return True
-        self.publish(self.book.release(trial.fingerprint))
+        self.publish(self.book.cancel_probe(trial.fingerprint))
         return False
 
     def _first_in_line(
@@ -162,7 +162,7 @@
             await asyncio.sleep(WRITE_PAUSE_S + self.entries * PAUSE_PER_ENTRY_S)
 
     def _value(self) -> bytes:
-        record = self.book.record(time.monotonic(), time.time())
+        record = self.book.own_findings(time.monotonic(), time.time())
         return b"" if record.empty else encode_findings(record)
 
     async def _append(self, value: bytes) -> None:
@@ -216,9 +216,9 @@
         now_s = time.monotonic()
         if mine:
             self._on_log = value
-            self.book.adopt(findings, now_s)
+            self.book.restore_own(findings, now_s)
         else:
-            self.book.heard(findings, True, now_s)
+            self.book.merge(findings, True, now_s)
         self._on_change(findings)
 
     def _read_own(self, value: bytes) -> None:
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -185,7 +185,7 @@
         known = self._service.registered(now_s, self._read_s)
         known = [e for e in known if e.endpoint_id not in tried]
         sound = [e for e in known if self._avoided_s.get(e.endpoint_id, 0.0) <= now_s]
-        apart = self.keeper.book.endpoints_on_trial(now_s)
+        apart = self.keeper.book.probed_endpoints(now_s)
         if standing is not SuspectState.CLEAR:
             apart |= {name for name, count in self._suspects_at.items() if count}
         free = [e for e in sound if e.endpoint_id not in apart]
@@ -213,7 +213,7 @@
 
     def _release(self, request: ModelRequest) -> None:
         if self.keeper is not None:
-            self.keeper.publish(self.keeper.book.release(request.fingerprint))
+            self.keeper.publish(self.keeper.book.cancel_probe(request.fingerprint))
 
     def _saw_ending(self, request: ModelRequest, endpoint: ModelEndpoint) -> None:
         if self.keeper is None or not self._remembers:
@@ -221,10 +221,10 @@
         now_s = asyncio.get_running_loop().time()
         ending = Ending(endpoint.endpoint_id, 0, BUILD)
         book = self.keeper.book
-        self.keeper.publish(book.witnessed(ending, [request.fingerprint], now_s))
+        self.keeper.publish(book.record_crash(ending, [request.fingerprint], now_s))
 
     def _ended_well(self, request: ModelRequest) -> None:
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
-        self.keeper.publish(self.keeper.book.forgive(request.fingerprint, now_s))
+        self.keeper.publish(self.keeper.book.record_success(request.fingerprint, now_s))
--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -115,7 +115,7 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def watches(self, place: Place) -> bool:
+    def has_prefix(self, place: Place) -> bool:
         """Whether a suspect's fingerprint begins with ``place``.
 
         The bodies of other requests need not be hashed.
@@ -124,7 +124,7 @@
 
     # -- evidence ------------------------------------------------------------
 
-    def witnessed(
+    def record_crash(
         self, ending: Ending, fingerprints: Iterable[Fingerprint], now_s: float
     ) -> Findings:
         """Record that an endpoint crashed while it ran requests of this entry.
@@ -135,10 +135,10 @@
         for evidence in found:
             self._own_evidence[evidence] = now_s
             self._add_crash(evidence, now_s)
-        self.forget(now_s)
+        self.expire(now_s)
         return Findings(self.me, found)
 
-    def heard(self, findings: Findings, whole: bool, now_s: float) -> None:
+    def merge(self, findings: Findings, complete: bool, now_s: float) -> None:
         """Merge the findings of another entry.
 
         :param whole: whether they are the entry's complete record, so that its probes
@@ -148,7 +148,7 @@
             self._add_crash(evidence, now_s)
         for evidence in findings.forgiven:
             self._clear(evidence, now_s)
-        if whole:
+        if complete:
             self._probes = {
                 fingerprint: active
                 for fingerprint, active in self._probes.items()
@@ -156,9 +156,9 @@
             }
         for trial in findings.trials:
             self._merge_probe(findings.entry_id, trial, now_s)
-        self.forget(now_s)
+        self.expire(now_s)
 
-    def adopt(self, findings: Findings, now_s: float) -> None:
+    def restore_own(self, findings: Findings, now_s: float) -> None:
         """Restore what this entry found before it was restarted."""
         for evidence in findings.seen:
             self._own_evidence[evidence] = now_s
@@ -167,7 +167,7 @@
             self._own_cleared[evidence] = now_s
             self._clear(evidence, now_s)
 
-    def forgive(self, fingerprint: Fingerprint, now_s: float) -> Findings:
+    def record_success(self, fingerprint: Fingerprint, now_s: float) -> Findings:
         """Clear a request that succeeded.
 
         :returns: what to send to the other entries: nothing for a request with a single
@@ -220,7 +220,7 @@
         may_probe = free_in_s <= 0 or other_builds
         return SuspectState.PROBE_ONLY if may_probe else SuspectState.QUARANTINED
 
-    def back_in_s(self, fingerprint: Fingerprint, now_s: float) -> float | None:
+    def retry_after_s(self, fingerprint: Fingerprint, now_s: float) -> float | None:
         """Time until a request that is held back may be sent; ``None`` if an operator
         must lift the quarantine."""
         suspicion = self._suspects.get(fingerprint)
@@ -233,7 +233,7 @@
         free_in_s = _quarantine_left_s(suspicion, now_s)
         return None if free_in_s is None else max(0.0, free_in_s, trial_s)
 
-    def claim(self, trial: Trial, now_s: float) -> Findings | None:
+    def begin_probe(self, trial: Trial, now_s: float) -> Findings | None:
         """Begin a probe of a request.
 
         :returns: what to send to the other entries; ``None`` if a probe of the request
@@ -248,35 +248,35 @@
         )
         return Findings(self.me, trials=(trial,))
 
-    def holds(self, fingerprint: Fingerprint) -> bool:
+    def is_probing(self, fingerprint: Fingerprint) -> bool:
         """Whether this entry has a probe of the request in progress."""
         active = self._probes.get(fingerprint)
         return active is not None and active.entry_id == self.me
 
-    def release(self, fingerprint: Fingerprint) -> Findings:
+    def cancel_probe(self, fingerprint: Fingerprint) -> Findings:
         """End this entry's probe without a result.
 
         :returns: what to send to the other entries.
         """
-        if not self.holds(fingerprint):
+        if not self.is_probing(fingerprint):
             return Findings(self.me)
         active = self._probes.pop(fingerprint)
         finished = Trial(fingerprint, active.endpoint_id, 0.0)
         return Findings(self.me, trials=(finished,))
 
-    def endpoints_on_trial(self, now_s: float) -> set[EndpointId]:
+    def probed_endpoints(self, now_s: float) -> set[EndpointId]:
         """The endpoints at which probes are in progress."""
         active = self._probes.values()
         return {trial.endpoint_id for trial in active if trial.ends_s > now_s}
 
     # -- reports -----------------------------------------------------------------
 
-    def record(self, now_s: float, day_s: float = 0.0) -> Findings:
+    def own_findings(self, now_s: float, day_s: float = 0.0) -> Findings:
         """This entry's record: requests with most crashes first, then the newest.
 
         :param day_s: current Unix time.
         """
-        self.forget(now_s)
+        self.expire(now_s)
         seen = sorted(
             (e for e in self._own_evidence if self._is_uncleared(e)),
             key=lambda e: (
@@ -301,14 +301,14 @@
             tuple(int(day_s - now_s + self._own_evidence[e]) for e in seen),
         )
 
-    def suspects(self, now_s: float) -> list[Suspect]:
+    def list_suspects(self, now_s: float) -> list[Suspect]:
         """All suspected requests, those with most crashes first."""
         found = [
-            self.suspect(f, now_s) for f, s in self._suspects.items() if s.uncleared
+            self.describe(f, now_s) for f, s in self._suspects.items() if s.uncleared
         ]
         return sorted(found, key=lambda s: -len(s.endings))
 
-    def suspect(self, fingerprint: Fingerprint, now_s: float) -> Suspect:
+    def describe(self, fingerprint: Fingerprint, now_s: float) -> Suspect:
         """The state and the crashes of one request."""
         suspicion = self._suspects.get(fingerprint, _Suspicion())
         return Suspect(
@@ -320,7 +320,7 @@
 
     # -- internals ---------------------------------------------------------------
 
-    def forget(self, now_s: float) -> None:
+    def expire(self, now_s: float) -> None:
         """Remove expired suspects and, if there are too many, those with the fewest and
         oldest crashes.
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
 
 
 def _states(gateway: Gateway) -> list[SuspectState]:
-    suspects = gateway.suspects.book.suspects(time.monotonic())
+    suspects = gateway.suspects.book.list_suspects(time.monotonic())
     return [suspect.standing for suspect in suspects]
 
 
@@ -178,7 +178,7 @@
             self.addAsyncCleanup(store.close)
             await _quarantine_everywhere(fleet, run)
             view = await read_suspects(store)
-            (suspect,) = view.book.suspects(time.monotonic())
+            (suspect,) = view.book.list_suspects(time.monotonic())
             (row,) = suspect_rows(view, time.monotonic())
             self.assertEqual(row["standing"], "shut_out")
             self.assertEqual(len(row["endings"]), len(suspect.endings))
@@ -210,7 +210,7 @@
         self.keeper = self.fleet.gateways[0].suspects
         for number in range(2):
             ending = Ending(EndpointId(f"i-{number}"))
-            self.keeper.book.witnessed(ending, [self.known], time.monotonic())
+            self.keeper.book.record_crash(ending, [self.known], time.monotonic())
 
     async def test_a_cancelled_claim_is_released(self) -> None:
         """The caller left while the claim was published. The claim then lasted until
@@ -219,11 +219,11 @@
         trial = Trial(self.known, EndpointId("i-9"), 60.0)
         claim = asyncio.create_task(self.keeper.claim(trial, []))
         await asyncio.sleep(0.1)
-        self.assertTrue(self.keeper.book.holds(self.known))
+        self.assertTrue(self.keeper.book.is_probing(self.known))
         claim.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await claim
-        self.assertFalse(self.keeper.book.holds(self.known))
+        self.assertFalse(self.keeper.book.is_probing(self.known))
         self.fleet.log.silent = False
 
     @params(("e0@127.0.0.1", True), ("another", False))
@@ -249,7 +249,7 @@
             fleet.log.refused.add(SUSPECTS_TOPIC)
             for number in range(2):
                 ending = Ending(EndpointId(f"i-{number}"))
-                keeper.book.witnessed(ending, [known], time.monotonic())
+                keeper.book.record_crash(ending, [known], time.monotonic())
             trial = Trial(known, EndpointId("i-9"), 60.0)
             self.assertEqual(await keeper.claim(trial, others), may)
 
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -63,11 +63,11 @@
         suspects = EntrySuspects(EntryId("e1"))
         claim = asyncio.create_task(suspects.claim(KNOWN, ReplicaId("r"), 60.0))
         await asyncio.sleep(0)
-        self.assertTrue(suspects.book.holds(KNOWN))
+        self.assertTrue(suspects.book.is_probing(KNOWN))
         claim.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await claim
-        self.assertFalse(suspects.book.holds(KNOWN))
+        self.assertFalse(suspects.book.is_probing(KNOWN))
 
     def test_an_entry_that_tells_nothing_tries_nothing(self) -> None:
         """A trial that showed nothing was held against the request for a minute."""
@@ -77,9 +77,9 @@
         heartbeat = PeerNews(other, "b", 1, False, {}, Findings(other, trials=(trial,)))
         state._heard(heartbeat)
         now_s = time.monotonic()
-        self.assertEqual(state.suspects.book.endpoints_on_trial(now_s), {"r"})
+        self.assertEqual(state.suspects.book.probed_endpoints(now_s), {"r"})
         state._heard(attrs.evolve(heartbeat, seq=2, findings=None))
-        self.assertEqual(state.suspects.book.endpoints_on_trial(now_s), set())
+        self.assertEqual(state.suspects.book.probed_endpoints(now_s), set())
         state.link.close()
 
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -42,7 +42,7 @@
 ) -> SuspectTracker:
     book = SuspectTracker(ME)
     for number in range(endings):
-        book.witnessed(_ending(number), [fingerprint], at_s)
+        book.record_crash(_ending(number), [fingerprint], at_s)
     return book
 
 
@@ -63,14 +63,14 @@
         book = _book(1)
         for entry in "abc":
             seen = (Evidence(BAD, _ending(0)),)
-            book.heard(Findings(EntryId(entry), seen), False, 1.0)
+            book.merge(Findings(EntryId(entry), seen), False, 1.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.WATCHED)
 
     def test_crashes_of_restarts_under_one_id_all_count(self) -> None:
         book = SuspectTracker(ME)
         for born_ms in (1, 2, 3):
             ending = Ending(EndpointId("i-0"), born_ms, V1)
-            book.witnessed(ending, [BAD], 0.0)
+            book.record_crash(ending, [BAD], 0.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_evidence_of_several_entries_adds_up(self) -> None:
@@ -79,7 +79,7 @@
         book = SuspectTracker(ME)
         for number in range(3):
             seen = (Evidence(BAD, _ending(number)),)
-            book.heard(Findings(EntryId(f"x{number}"), seen), False, 0.0)
+            book.merge(Findings(EntryId(f"x{number}"), seen), False, 0.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_two_crashing_requests_are_quarantined_and_a_successful_one_is_not(
@@ -89,8 +89,8 @@
         book = SuspectTracker(ME)
         worse = fingerprint_of(PLACE, b"worse")
         for number in range(3):
-            book.witnessed(_ending(number), [BAD, worse, GOOD], 0.0)
-            book.forgive(GOOD, 0.1)
+            book.record_crash(_ending(number), [BAD, worse, GOOD], 0.0)
+            book.record_success(GOOD, 0.1)
         for fingerprint in (BAD, worse):
             self.assertEqual(
                 book.standing(fingerprint, {V1}, 1.0), SuspectState.QUARANTINED
@@ -99,9 +99,9 @@
 
     def test_cleared_evidence_stays_cleared_when_it_is_reported_again(self) -> None:
         book = _book(2)
-        book.forgive(BAD, 1.0)
+        book.record_success(BAD, 1.0)
         seen = tuple(Evidence(BAD, _ending(n)) for n in range(2))
-        book.heard(Findings(OTHER, seen), True, 2.0)
+        book.merge(Findings(OTHER, seen), True, 2.0)
         self.assertEqual(book.standing(BAD, {V1}, 2.0), SuspectState.CLEAR)
 
 
@@ -111,7 +111,7 @@
         self, endings: int, lasts_s: float
     ) -> None:
         book = _book(endings)
-        self.assertEqual(book.back_in_s(BAD, 0.0), lasts_s)
+        self.assertEqual(book.retry_after_s(BAD, 0.0), lasts_s)
         early = book.standing(BAD, {V1}, lasts_s - 0.1)
         self.assertEqual(early, SuspectState.QUARANTINED)
         self.assertEqual(book.standing(BAD, {V1}, lasts_s), SuspectState.PROBE_ONLY)
@@ -119,10 +119,10 @@
     def test_after_three_probes_only_an_operator_ends_the_quarantine(self) -> None:
         """Probes of a request that is known to crash endpoints went on for ever."""
         book = _book(6)
-        self.assertIsNone(book.back_in_s(BAD, 1e9))
+        self.assertIsNone(book.retry_after_s(BAD, 1e9))
         self.assertEqual(book.standing(BAD, {V1}, 1e9), SuspectState.QUARANTINED)
         self.assertEqual(book.standing(BAD, {V2}, 1e9), SuspectState.QUARANTINED)
-        book.forgive(BAD, 1e9)
+        book.record_success(BAD, 1e9)
         self.assertEqual(book.standing(BAD, {V1}, 1e9), SuspectState.CLEAR)
 
     @params(
@@ -137,7 +137,7 @@
 
     def test_a_crash_of_another_build_quarantines_again(self) -> None:
         book = _book(3)
-        book.witnessed(_ending(9, V2), [BAD], 1.0)
+        book.record_crash(_ending(9, V2), [BAD], 1.0)
         self.assertEqual(book.standing(BAD, {V2}, 2.0), SuspectState.QUARANTINED)
 
 
@@ -147,40 +147,40 @@
 
     def test_one_entry_at_a_time_probes_a_request(self) -> None:
         book = _book(2)
-        self.assertIsNotNone(book.claim(self._probe(), 0.0))
-        self.assertIsNone(book.claim(self._probe(), 1.0))
-        book.release(BAD)
-        self.assertIsNotNone(book.claim(self._probe(), 2.0))
+        self.assertIsNotNone(book.begin_probe(self._probe(), 0.0))
+        self.assertIsNone(book.begin_probe(self._probe(), 1.0))
+        book.cancel_probe(BAD)
+        self.assertIsNotNone(book.begin_probe(self._probe(), 2.0))
 
     def test_a_probe_of_an_entry_that_is_gone_expires(self) -> None:
         book = _book(2)
-        book.heard(Findings(OTHER, trials=(self._probe(),)), False, 0.0)
-        self.assertIsNone(book.claim(self._probe(), 4.9))
-        self.assertIsNotNone(book.claim(self._probe(), 5.0))
+        book.merge(Findings(OTHER, trials=(self._probe(),)), False, 0.0)
+        self.assertIsNone(book.begin_probe(self._probe(), 4.9))
+        self.assertIsNotNone(book.begin_probe(self._probe(), 5.0))
 
     @params((EntryId("a"), False), (EntryId("z"), True))
     def test_of_two_concurrent_probes_the_lower_entry_id_wins(
         self, other: EntryId, wins: bool
     ) -> None:
         book = _book(2)
-        book.claim(self._probe(), 0.0)
-        book.heard(Findings(other, trials=(self._probe(),)), False, 0.001)
-        self.assertEqual(book.holds(BAD), wins)
+        book.begin_probe(self._probe(), 0.0)
+        book.merge(Findings(other, trials=(self._probe(),)), False, 0.001)
+        self.assertEqual(book.is_probing(BAD), wins)
 
     @params(
         (
             "its endpoint crashed",
-            lambda b: b.witnessed(Ending(EndpointId("i-9")), [BAD], 1),
+            lambda b: b.record_crash(Ending(EndpointId("i-9")), [BAD], 1),
         ),
-        ("the request succeeded", lambda b: b.forgive(BAD, 1.0)),
-        ("its record no longer lists it", lambda b: b.heard(Findings(ME), True, 1.0)),
+        ("the request succeeded", lambda b: b.record_success(BAD, 1.0)),
+        ("its record no longer lists it", lambda b: b.merge(Findings(ME), True, 1.0)),
     )
     def test_a_probe_is_over_when(self, _: str, act: object) -> None:
         book = _book(2)
-        book.claim(self._probe(), 0.0)
+        book.begin_probe(self._probe(), 0.0)
         act(book)  # type: ignore[operator]
-        self.assertFalse(book.holds(BAD))
-        self.assertEqual(book.endpoints_on_trial(1.0), set())
+        self.assertFalse(book.is_probing(BAD))
+        self.assertEqual(book.probed_endpoints(1.0), set())
 
 
 class ExpiryTest(unittest.TestCase):
@@ -188,10 +188,10 @@
         self,
     ) -> None:
         book = _book(3)
-        book.witnessed(_ending(0), [GOOD], 0.0)
-        book.forget(SUSPECT_KEPT_S + 1)
+        book.record_crash(_ending(0), [GOOD], 0.0)
+        book.expire(SUSPECT_KEPT_S + 1)
         self.assertEqual(len(book), 1)
-        self.assertTrue(book.watches(place_in(BAD)))
+        self.assertTrue(book.has_prefix(place_in(BAD)))
 
     def test_probes_of_entries_that_are_gone_are_removed(self) -> None:
         """Probes that were never ended stayed in memory and were scanned for each
@@ -201,10 +201,10 @@
             Trial(fingerprint_of(PLACE, b"%d" % n), EndpointId("i-9"), 5.0)
             for n in range(100)
         )
-        book.heard(Findings(OTHER, trials=trials), False, 0.0)
-        book.forget(4.0)
+        book.merge(Findings(OTHER, trials=trials), False, 0.0)
+        book.expire(4.0)
         self.assertEqual(len(book._probes), 100)
-        book.forget(6.0)
+        book.expire(6.0)
         self.assertEqual(len(book._probes), 0)
 
     def test_eviction_keeps_the_requests_with_most_crashes(self) -> None:
@@ -212,24 +212,24 @@
         many = [
             fingerprint_of(Place(b"other!"), b"%d" % n) for n in range(MOST_SUSPECTS)
         ]
-        book.witnessed(_ending(7), many, 1.0)
+        book.record_crash(_ending(7), many, 1.0)
         self.assertLessEqual(len(book), MOST_SUSPECTS)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
-        record = book.record(1.0)
+        record = book.own_findings(1.0)
         self.assertEqual(len(record.seen), MOST_TOLD)
         self.assertIn(BAD, {evidence.fingerprint for evidence in record.seen})
 
     def test_findings_survive_a_restart_of_the_entry(self) -> None:
         previous = _book(3)
         book = SuspectTracker(ME)
-        book.adopt(previous.record(1.0), 0.0)
+        book.restore_own(previous.own_findings(1.0), 0.0)
         self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
-        self.assertEqual(book.record(1.0), previous.record(1.0))
+        self.assertEqual(book.own_findings(1.0), previous.own_findings(1.0))
 
     def test_clearing_a_single_crash_is_not_reported(self) -> None:
         book = _book(1)
-        self.assertTrue(book.forgive(BAD, 1.0).empty)
-        self.assertTrue(book.record(1.0).empty)
+        self.assertTrue(book.record_success(BAD, 1.0).empty)
+        self.assertTrue(book.own_findings(1.0).empty)
 
 
 _EVIDENCE = st.tuples(st.sampled_from((BAD, GOOD)), st.integers(0, 4))
@@ -258,7 +258,7 @@
         books = (SuspectTracker(ME), SuspectTracker(ME))
         for book, findings in zip(books, (sent, shuffled), strict=True):
             for one in findings:
-                book.heard(one, False, 0.0)
+                book.merge(one, False, 0.0)
         for fingerprint in (BAD, GOOD):
             standings = {book.standing(fingerprint, {V1}, 1.0) for book in books}
             self.assertEqual(len(standings), 1)
