--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -122,10 +122,10 @@
     since = datetime.datetime.fromtimestamp(since_s, datetime.UTC)
     return {
         "fingerprint": suspect.fingerprint.hex(),
-        "standing": suspect.standing.value,
+        "standing": suspect.state.value,
         "since": since.isoformat(timespec="seconds"),
         "endings": [
-            {"endpoint": e.endpoint_id, "build": e.build} for e in suspect.endings
+            {"endpoint": e.endpoint_id, "build": e.build} for e in suspect.crashes
         ],
     }
 
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -73,7 +73,7 @@
         self, known: Fingerprint, work: WorkClass, now_s: float
     ) -> SuspectState:
         """What a request is taken for."""
-        return self.book.standing(known, {work.model}, now_s)
+        return self.book.state_of(known, {work.model}, now_s)
 
     def held_back(self, known: Fingerprint, now_s: float) -> Refusal:
         """The refusal of a request that no replica gets now."""
@@ -166,5 +166,5 @@
             fingerprints=[known.hex()],
         )
         suspect = self.book.describe(known, now_s)
-        if suspect.standing is SuspectState.QUARANTINED:
+        if suspect.state is SuspectState.QUARANTINED:
             log_shut_out(_log, suspect)
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -36,7 +36,7 @@
 from celerytrack.retries import RetryBudget
 from celerytrack.routes import RoutingTable
 from celerytrack.suspect_logs import log_shut_out
-from celerytrack.suspects import MOST_SUSPECTS, SuspectState
+from celerytrack.suspects import MAX_SUSPECTS, SuspectState
 
 _log = logging.getLogger(__name__)
 
@@ -114,7 +114,7 @@
         )
         self.suspects_at: collections.Counter[EndpointId] = collections.Counter()
         self._shut_out: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
-            MOST_SUSPECTS
+            MAX_SUSPECTS
         )
 
     @property
@@ -199,9 +199,9 @@
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
             suspect = self.suspects.book.describe(fingerprint, now_s)
-            if suspect.standing is not SuspectState.QUARANTINED:
+            if suspect.state is not SuspectState.QUARANTINED:
                 continue
-            endings = frozenset(suspect.endings)
+            endings = frozenset(suspect.crashes)
             if self._shut_out.get(fingerprint) == endings:
                 continue
             self._shut_out[fingerprint] = endings
@@ -210,7 +210,7 @@
     def count_suspects(self) -> None:
         """Have the metrics tell how many requests are under suspicion."""
         suspects = self.suspects.book.list_suspects(time.monotonic())
-        counts = collections.Counter(suspect.standing for suspect in suspects)
+        counts = collections.Counter(suspect.state for suspect in suspects)
         for standing in (
             SuspectState.WATCHED,
             SuspectState.PROBE_ONLY,
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -28,7 +28,7 @@
     if not book or not book.has_prefix(exchange.place):
         return SuspectState.CLEAR
     builds = gateway.endpoints.builds(exchange.service, now_s)
-    return book.standing(exchange.fingerprint, builds, now_s)
+    return book.state_of(exchange.fingerprint, builds, now_s)
 
 
 def held_back(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -175,7 +175,7 @@
         if self.keeper is None or not self._remembers:
             return SuspectState.CLEAR
         now_s = asyncio.get_running_loop().time()
-        return self.keeper.book.standing(request.fingerprint, {BUILD}, now_s)
+        return self.keeper.book.state_of(request.fingerprint, {BUILD}, now_s)
 
     def _choose(
         self, standing: SuspectState, tried: Sequence[EndpointId]
--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -18,24 +18,24 @@
 from celerytrack.fingerprint import Fingerprint, Place, place_in
 from celerytrack.ids import EndpointId, EntryId
 
-ENDINGS_TO_TRY_ALONE = 2
-ENDINGS_TO_SHUT_OUT = 3
-QUARANTINES_S = (20.0, 300.0, 3_600.0)
+CRASHES_TO_PROBE = 2
+CRASHES_TO_QUARANTINE = 3
+QUARANTINE_PERIODS_S = (20.0, 300.0, 3_600.0)
 """How long a request is quarantined after its third, fourth and fifth crash. After the
 sixth it stays quarantined until an operator lifts it: a request known to crash
 endpoints may crash at most three more in probes."""
-SUSPECT_KEPT_S = 900.0
+SUSPECT_TTL_S = 900.0
 """How long a request that is not quarantined is remembered after its last crash: long
 enough to count three crashes of a request that is repeated every few minutes."""
-MOST_SUSPECTS = 4_096
+MAX_SUSPECTS = 4_096
 """About 1 MB, and far more requests than run at the endpoints that crash within a few
 minutes."""
-DROPPED_SHARE = 0.1
+EVICTED_SHARE = 0.1
 """Share of the suspects that is evicted at once when there are too many."""
-FORGET_EACH_S = 1.0
+EXPIRE_INTERVAL_S = 1.0
 """Shortest time between two expiry passes. With thousands of suspects one pass takes a
 few ms, and notes of other entries arrive by the dozen."""
-MOST_TOLD = 64
+MAX_PUBLISHED = 64
 """Most items of each kind in an entry's own record. Evidence against the requests with
 the most crashes goes first."""
 
@@ -66,21 +66,21 @@
 class _Suspicion:
     """Crashes of one request, with the times at which this entry learned of them."""
 
-    endings: dict[Ending, float] = attrs.field(factory=dict)
+    crashes: dict[Ending, float] = attrs.field(factory=dict)
     forgiven: dict[Ending, float] = attrs.field(factory=dict)
 
     @property
     def uncleared(self) -> list[Ending]:
-        return [ending for ending in self.endings if ending not in self.forgiven]
+        return [ending for ending in self.crashes if ending not in self.forgiven]
 
     @property
     def last_change_s(self) -> float:
-        times_s = (*self.endings.values(), *self.forgiven.values())
+        times_s = (*self.crashes.values(), *self.forgiven.values())
         return max(times_s, default=float("-inf"))
 
     @property
     def last_uncleared_s(self) -> float:
-        return max((self.endings[e] for e in self.uncleared), default=float("-inf"))
+        return max((self.crashes[e] for e in self.uncleared), default=float("-inf"))
 
 
 @attrs.frozen
@@ -92,19 +92,19 @@
     """
 
     fingerprint: Fingerprint
-    standing: SuspectState
-    endings: tuple[Ending, ...]
-    free_in_s: float | None
+    state: SuspectState
+    crashes: tuple[Ending, ...]
+    quarantine_left_s: float | None
 
 
 class SuspectTracker:
     """The suspected requests, as one entry knows them.
 
-    :param me: this entry.
+    :param entry_id: this entry.
     """
 
-    def __init__(self, me: EntryId) -> None:
-        self.me = me
+    def __init__(self, entry_id: EntryId) -> None:
+        self.entry_id = entry_id
         self._suspects: dict[Fingerprint, _Suspicion] = {}
         self._prefix_counts: dict[Place, int] = {}
         self._probes: dict[Fingerprint, _ActiveProbe] = {}
@@ -136,7 +136,7 @@
             self._own_evidence[evidence] = now_s
             self._add_crash(evidence, now_s)
         self.expire(now_s)
-        return Findings(self.me, found)
+        return Findings(self.entry_id, found)
 
     def merge(self, findings: Findings, complete: bool, now_s: float) -> None:
         """Merge the findings of another entry.
@@ -174,10 +174,10 @@
             crash, which no entry holds back.
         """
         suspicion = self._suspects.get(fingerprint)
-        single_crash = suspicion and len(suspicion.uncleared) < ENDINGS_TO_TRY_ALONE
+        single_crash = suspicion and len(suspicion.uncleared) < CRASHES_TO_PROBE
         findings = self.lift(fingerprint, now_s)
         if single_crash:
-            return Findings(self.me)
+            return Findings(self.entry_id)
         self._own_cleared.update(dict.fromkeys(findings.forgiven, now_s))
         return findings
 
@@ -188,16 +188,16 @@
         """
         suspicion = self._suspects.get(fingerprint)
         if suspicion is None:
-            return Findings(self.me)
+            return Findings(self.entry_id)
         cleared = tuple(Evidence(fingerprint, ending) for ending in suspicion.uncleared)
         self._probes.pop(fingerprint, None)
         for evidence in cleared:
             self._clear(evidence, now_s)
-        return Findings(self.me, forgiven=cleared)
+        return Findings(self.entry_id, forgiven=cleared)
 
     # -- decisions -----------------------------------------------------------
 
-    def standing(
+    def state_of(
         self, fingerprint: Fingerprint, builds: Collection[str], now_s: float
     ) -> SuspectState:
         """Whether and how a request may be sent.
@@ -209,9 +209,9 @@
         uncleared = suspicion.uncleared if suspicion else []
         if suspicion is None or not uncleared:
             return SuspectState.CLEAR
-        if len(uncleared) < ENDINGS_TO_TRY_ALONE:
+        if len(uncleared) < CRASHES_TO_PROBE:
             return SuspectState.WATCHED
-        if len(uncleared) < ENDINGS_TO_SHUT_OUT:
+        if len(uncleared) < CRASHES_TO_QUARANTINE:
             return SuspectState.PROBE_ONLY
         free_in_s = _quarantine_left_s(suspicion, now_s)
         if free_in_s is None:
@@ -228,7 +228,7 @@
             return 0.0
         active = self._probes.get(fingerprint)
         trial_s = active.ends_s - now_s if active else 0.0
-        if len(suspicion.uncleared) < ENDINGS_TO_SHUT_OUT:
+        if len(suspicion.uncleared) < CRASHES_TO_QUARANTINE:
             return max(0.0, trial_s)
         free_in_s = _quarantine_left_s(suspicion, now_s)
         return None if free_in_s is None else max(0.0, free_in_s, trial_s)
@@ -244,14 +244,14 @@
             return None
         ends_s = now_s + trial.lasts_s
         self._probes[trial.fingerprint] = _ActiveProbe(
-            self.me, trial.endpoint_id, ends_s
+            self.entry_id, trial.endpoint_id, ends_s
         )
-        return Findings(self.me, trials=(trial,))
+        return Findings(self.entry_id, trials=(trial,))
 
     def is_probing(self, fingerprint: Fingerprint) -> bool:
         """Whether this entry has a probe of the request in progress."""
         active = self._probes.get(fingerprint)
-        return active is not None and active.entry_id == self.me
+        return active is not None and active.entry_id == self.entry_id
 
     def cancel_probe(self, fingerprint: Fingerprint) -> Findings:
         """End this entry's probe without a result.
@@ -259,10 +259,10 @@
         :returns: what to send to the other entries.
         """
         if not self.is_probing(fingerprint):
-            return Findings(self.me)
+            return Findings(self.entry_id)
         active = self._probes.pop(fingerprint)
         finished = Trial(fingerprint, active.endpoint_id, 0.0)
-        return Findings(self.me, trials=(finished,))
+        return Findings(self.entry_id, trials=(finished,))
 
     def probed_endpoints(self, now_s: float) -> set[EndpointId]:
         """The endpoints at which probes are in progress."""
@@ -290,14 +290,14 @@
         trials = [
             Trial(fingerprint, active.endpoint_id, active.ends_s - now_s)
             for fingerprint, active in self._probes.items()
-            if active.entry_id == self.me and active.ends_s > now_s
+            if active.entry_id == self.entry_id and active.ends_s > now_s
         ]
-        seen = seen[:MOST_TOLD]
+        seen = seen[:MAX_PUBLISHED]
         return Findings(
-            self.me,
+            self.entry_id,
             tuple(seen),
-            tuple(forgiven[:MOST_TOLD]),
-            tuple(trials[:MOST_TOLD]),
+            tuple(forgiven[:MAX_PUBLISHED]),
+            tuple(trials[:MAX_PUBLISHED]),
             tuple(int(day_s - now_s + self._own_evidence[e]) for e in seen),
         )
 
@@ -306,16 +306,16 @@
         found = [
             self.describe(f, now_s) for f, s in self._suspects.items() if s.uncleared
         ]
-        return sorted(found, key=lambda s: -len(s.endings))
+        return sorted(found, key=lambda s: -len(s.crashes))
 
     def describe(self, fingerprint: Fingerprint, now_s: float) -> Suspect:
         """The state and the crashes of one request."""
         suspicion = self._suspects.get(fingerprint, _Suspicion())
         return Suspect(
             fingerprint=fingerprint,
-            standing=self.standing(fingerprint, (), now_s),
-            endings=tuple(suspicion.uncleared),
-            free_in_s=_quarantine_left_s(suspicion, now_s),
+            state=self.state_of(fingerprint, (), now_s),
+            crashes=tuple(suspicion.uncleared),
+            quarantine_left_s=_quarantine_left_s(suspicion, now_s),
         )
 
     # -- internals ---------------------------------------------------------------
@@ -324,21 +324,21 @@
         """Remove expired suspects and, if there are too many, those with the fewest and
         oldest crashes.
 
-        Does nothing if the last pass was less than :data:`FORGET_EACH_S` ago and there
-        are not too many.
+        Does nothing if the last pass was less than :data:`EXPIRE_INTERVAL_S` ago and
+        there are not too many.
         """
-        if now_s < self._next_expiry_s and len(self._suspects) <= MOST_SUSPECTS:
+        if now_s < self._next_expiry_s and len(self._suspects) <= MAX_SUSPECTS:
             return
-        self._next_expiry_s = now_s + FORGET_EACH_S
+        self._next_expiry_s = now_s + EXPIRE_INTERVAL_S
         self._probes = {f: h for f, h in self._probes.items() if h.ends_s > now_s}
         expired = [f for f, s in self._suspects.items() if _is_expired(s, now_s)]
         for fingerprint in expired:
             self._evict(fingerprint)
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             ranked = sorted(
                 self._suspects, key=lambda f: _eviction_rank(self._suspects[f])
             )
-            for fingerprint in ranked[: int(MOST_SUSPECTS * DROPPED_SHARE)]:
+            for fingerprint in ranked[: int(MAX_SUSPECTS * EVICTED_SHARE)]:
                 self._evict(fingerprint)
         for own in (self._own_evidence, self._own_cleared):
             for evidence in [e for e in own if e.fingerprint not in self._suspects]:
@@ -362,9 +362,9 @@
 
     def _add_crash(self, evidence: Evidence, now_s: float) -> None:
         suspicion = self._suspicion(evidence.fingerprint)
-        if evidence.ending in suspicion.endings:
+        if evidence.ending in suspicion.crashes:
             return
-        suspicion.endings[evidence.ending] = now_s
+        suspicion.crashes[evidence.ending] = now_s
         active = self._probes.get(evidence.fingerprint)
         if active is not None and active.endpoint_id == evidence.ending.endpoint_id:
             del self._probes[evidence.fingerprint]
@@ -395,18 +395,18 @@
 
 def _quarantine_left_s(suspicion: _Suspicion, now_s: float) -> float | None:
     """Time until a request may be probed; ``None`` if an operator must allow it."""
-    step = len(suspicion.uncleared) - ENDINGS_TO_SHUT_OUT
+    step = len(suspicion.uncleared) - CRASHES_TO_QUARANTINE
     if step < 0:
         return 0.0
-    if step >= len(QUARANTINES_S):
+    if step >= len(QUARANTINE_PERIODS_S):
         return None
-    return suspicion.last_uncleared_s + QUARANTINES_S[step] - now_s
+    return suspicion.last_uncleared_s + QUARANTINE_PERIODS_S[step] - now_s
 
 
 def _is_expired(suspicion: _Suspicion, now_s: float) -> bool:
-    if len(suspicion.uncleared) >= ENDINGS_TO_SHUT_OUT:
+    if len(suspicion.uncleared) >= CRASHES_TO_QUARANTINE:
         return False
-    return now_s - suspicion.last_change_s > SUSPECT_KEPT_S
+    return now_s - suspicion.last_change_s > SUSPECT_TTL_S
 
 
 def _eviction_rank(suspicion: _Suspicion) -> tuple[int, float]:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -21,7 +21,7 @@
 from celerytrack.platform.store import StoreClient
 from celerytrack.platform.topics import ENDPOINTS_TOPIC, SUSPECTS_TOPIC
 from celerytrack.routing import rendezvous
-from celerytrack.suspects import QUARANTINES_S, SuspectState, SuspectTracker
+from celerytrack.suspects import QUARANTINE_PERIODS_S, SuspectState, SuspectTracker
 from tests.crashing_endpoints import MARKER, Answers, CrashRun
 from tests.gateway_fleet import Endpoint, Fleet
 
@@ -34,7 +34,7 @@
 
 def _states(gateway: Gateway) -> list[SuspectState]:
     suspects = gateway.suspects.book.list_suspects(time.monotonic())
-    return [suspect.standing for suspect in suspects]
+    return [suspect.state for suspect in suspects]
 
 
 def _is_quarantined(gateway: Gateway) -> bool:
@@ -150,7 +150,9 @@
             )
             self.assertLess(time.monotonic() - began_s, AT_ONCE_S)
             self.assertEqual(status, 429)
-            self.assertGreater(float(headers["Retry-After"]), 0.9 * QUARANTINES_S[0])
+            self.assertGreater(
+                float(headers["Retry-After"]), 0.9 * QUARANTINE_PERIODS_S[0]
+            )
             self.assertIn(b"did_not_run", body)
             after = book.left_tokens(AccountId("t"), time.monotonic())
             self.assertEqual(after, left)
@@ -181,7 +183,7 @@
             (suspect,) = view.book.list_suspects(time.monotonic())
             (row,) = suspect_rows(view, time.monotonic())
             self.assertEqual(row["standing"], "shut_out")
-            self.assertEqual(len(row["endings"]), len(suspect.endings))
+            self.assertEqual(len(row["endings"]), len(suspect.crashes))
             since = datetime.datetime.fromisoformat(row["since"]).timestamp()
             self.assertAlmostEqual(since, time.time(), delta=10)
             with self.assertRaises(SuspectsError):
@@ -242,7 +244,7 @@
             for known in (
                 fingerprint_of(Place(b"place!"), b"%d" % n) for n in range(100)
             )
-            if rendezvous(known.hex(), [*others, book.me], 1) == [first]
+            if rendezvous(known.hex(), [*others, book.entry_id], 1) == [first]
         )
         async with Fleet(gateways=1) as fleet:
             keeper = fleet.gateways[0].suspects
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -16,10 +16,10 @@
     encode_findings,
 )
 from celerytrack.suspects import (
-    MOST_SUSPECTS,
-    MOST_TOLD,
-    QUARANTINES_S,
-    SUSPECT_KEPT_S,
+    MAX_PUBLISHED,
+    MAX_SUSPECTS,
+    QUARANTINE_PERIODS_S,
+    SUSPECT_TTL_S,
     SuspectState,
     SuspectTracker,
 )
@@ -55,23 +55,23 @@
         (6, SuspectState.QUARANTINED),
     )
     def test_the_state_follows_the_number_of_crashes(
-        self, endings: int, standing: SuspectState
+        self, endings: int, state: SuspectState
     ) -> None:
-        self.assertEqual(_book(endings).standing(BAD, {V1}, 1.0), standing)
+        self.assertEqual(_book(endings).state_of(BAD, {V1}, 1.0), state)
 
     def test_a_crash_reported_by_several_entries_counts_once(self) -> None:
         book = _book(1)
         for entry in "abc":
             seen = (Evidence(BAD, _ending(0)),)
             book.merge(Findings(EntryId(entry), seen), False, 1.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.WATCHED)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.WATCHED)
 
     def test_crashes_of_restarts_under_one_id_all_count(self) -> None:
         book = SuspectTracker(ME)
         for born_ms in (1, 2, 3):
             ending = Ending(EndpointId("i-0"), born_ms, V1)
             book.record_crash(ending, [BAD], 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_evidence_of_several_entries_adds_up(self) -> None:
         """Many entries that each sent the request once crashed more endpoints than the
@@ -80,7 +80,7 @@
         for number in range(3):
             seen = (Evidence(BAD, _ending(number)),)
             book.merge(Findings(EntryId(f"x{number}"), seen), False, 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_two_crashing_requests_are_quarantined_and_a_successful_one_is_not(
         self,
@@ -93,37 +93,41 @@
             book.record_success(GOOD, 0.1)
         for fingerprint in (BAD, worse):
             self.assertEqual(
-                book.standing(fingerprint, {V1}, 1.0), SuspectState.QUARANTINED
+                book.state_of(fingerprint, {V1}, 1.0), SuspectState.QUARANTINED
             )
-        self.assertEqual(book.standing(GOOD, {V1}, 1.0), SuspectState.CLEAR)
+        self.assertEqual(book.state_of(GOOD, {V1}, 1.0), SuspectState.CLEAR)
 
     def test_cleared_evidence_stays_cleared_when_it_is_reported_again(self) -> None:
         book = _book(2)
         book.record_success(BAD, 1.0)
         seen = tuple(Evidence(BAD, _ending(n)) for n in range(2))
         book.merge(Findings(OTHER, seen), True, 2.0)
-        self.assertEqual(book.standing(BAD, {V1}, 2.0), SuspectState.CLEAR)
+        self.assertEqual(book.state_of(BAD, {V1}, 2.0), SuspectState.CLEAR)
 
 
 class QuarantineEndTest(unittest.TestCase):
-    @params((3, QUARANTINES_S[0]), (4, QUARANTINES_S[1]), (5, QUARANTINES_S[2]))
+    @params(
+        (3, QUARANTINE_PERIODS_S[0]),
+        (4, QUARANTINE_PERIODS_S[1]),
+        (5, QUARANTINE_PERIODS_S[2]),
+    )
     def test_each_further_crash_extends_the_quarantine(
         self, endings: int, lasts_s: float
     ) -> None:
         book = _book(endings)
         self.assertEqual(book.retry_after_s(BAD, 0.0), lasts_s)
-        early = book.standing(BAD, {V1}, lasts_s - 0.1)
+        early = book.state_of(BAD, {V1}, lasts_s - 0.1)
         self.assertEqual(early, SuspectState.QUARANTINED)
-        self.assertEqual(book.standing(BAD, {V1}, lasts_s), SuspectState.PROBE_ONLY)
+        self.assertEqual(book.state_of(BAD, {V1}, lasts_s), SuspectState.PROBE_ONLY)
 
     def test_after_three_probes_only_an_operator_ends_the_quarantine(self) -> None:
         """Probes of a request that is known to crash endpoints went on for ever."""
         book = _book(6)
         self.assertIsNone(book.retry_after_s(BAD, 1e9))
-        self.assertEqual(book.standing(BAD, {V1}, 1e9), SuspectState.QUARANTINED)
-        self.assertEqual(book.standing(BAD, {V2}, 1e9), SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V1}, 1e9), SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V2}, 1e9), SuspectState.QUARANTINED)
         book.record_success(BAD, 1e9)
-        self.assertEqual(book.standing(BAD, {V1}, 1e9), SuspectState.CLEAR)
+        self.assertEqual(book.state_of(BAD, {V1}, 1e9), SuspectState.CLEAR)
 
     @params(
         ({V2}, SuspectState.PROBE_ONLY),
@@ -131,14 +135,14 @@
         (set(), SuspectState.QUARANTINED),
     )
     def test_a_probe_is_allowed_once_all_builds_differ(
-        self, builds: set[str], standing: SuspectState
+        self, builds: set[str], state: SuspectState
     ) -> None:
-        self.assertEqual(_book(3).standing(BAD, builds, 1.0), standing)
+        self.assertEqual(_book(3).state_of(BAD, builds, 1.0), state)
 
     def test_a_crash_of_another_build_quarantines_again(self) -> None:
         book = _book(3)
         book.record_crash(_ending(9, V2), [BAD], 1.0)
-        self.assertEqual(book.standing(BAD, {V2}, 2.0), SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V2}, 2.0), SuspectState.QUARANTINED)
 
 
 class ProbeTest(unittest.TestCase):
@@ -189,7 +193,7 @@
     ) -> None:
         book = _book(3)
         book.record_crash(_ending(0), [GOOD], 0.0)
-        book.expire(SUSPECT_KEPT_S + 1)
+        book.expire(SUSPECT_TTL_S + 1)
         self.assertEqual(len(book), 1)
         self.assertTrue(book.has_prefix(place_in(BAD)))
 
@@ -210,20 +214,20 @@
     def test_eviction_keeps_the_requests_with_most_crashes(self) -> None:
         book = _book(3)
         many = [
-            fingerprint_of(Place(b"other!"), b"%d" % n) for n in range(MOST_SUSPECTS)
+            fingerprint_of(Place(b"other!"), b"%d" % n) for n in range(MAX_SUSPECTS)
         ]
         book.record_crash(_ending(7), many, 1.0)
-        self.assertLessEqual(len(book), MOST_SUSPECTS)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        self.assertLessEqual(len(book), MAX_SUSPECTS)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
         record = book.own_findings(1.0)
-        self.assertEqual(len(record.seen), MOST_TOLD)
+        self.assertEqual(len(record.seen), MAX_PUBLISHED)
         self.assertIn(BAD, {evidence.fingerprint for evidence in record.seen})
 
     def test_findings_survive_a_restart_of_the_entry(self) -> None:
         previous = _book(3)
         book = SuspectTracker(ME)
         book.restore_own(previous.own_findings(1.0), 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
         self.assertEqual(book.own_findings(1.0), previous.own_findings(1.0))
 
     def test_clearing_a_single_crash_is_not_reported(self) -> None:
@@ -260,8 +264,8 @@
             for one in findings:
                 book.merge(one, False, 0.0)
         for fingerprint in (BAD, GOOD):
-            standings = {book.standing(fingerprint, {V1}, 1.0) for book in books}
-            self.assertEqual(len(standings), 1)
+            states = {book.state_of(fingerprint, {V1}, 1.0) for book in books}
+            self.assertEqual(len(states), 1)
 
 
 class CodecTest(unittest.TestCase):
