--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -26,13 +26,13 @@
 
 def _suspect(fleet: Fleet, count: int) -> None:
     """Have ``count`` other requests under suspicion, if this release knows of any."""
-    from celerytrack.findings import Ending
+    from celerytrack.findings import Crash
     from celerytrack.ids import EndpointId
 
     book = fleet.gateways[0].suspects.book
     found = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
     for number in range(3):
-        ending = Ending(EndpointId(f"i-{number}"))
+        ending = Crash(EndpointId(f"i-{number}"))
         book.record_crash(ending, found, time.monotonic())
 
 
--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -55,7 +55,9 @@
         if key == OPERATOR:
             self.own = findings
         self.book.merge(findings, True, now_s)
-        for evidence, at_s in zip(findings.seen, findings.seen_at_s, strict=True):
+        for evidence, at_s in zip(
+            findings.evidence, findings.observed_at_s, strict=True
+        ):
             known_s = self.since_s.get(evidence.fingerprint, at_s)
             self.since_s[evidence.fingerprint] = min(known_s, at_s)
 
@@ -72,8 +74,8 @@
         if len(found) != 1:
             raise SuspectsError(f"{len(found)} requests begin with {prefix!r}")
         told = self.book.lift(found[0], now_s)
-        forgiven = (*told.forgiven, *self.own.forgiven)
-        return Findings(OPERATOR, forgiven=forgiven[:MOST_ITEMS])
+        forgiven = (*told.cleared, *self.own.cleared)
+        return Findings(OPERATOR, cleared=forgiven[:MOST_ITEMS])
 
 
 async def read_suspects(store: StoreClient) -> OperatorView:
@@ -183,5 +185,5 @@
         except SuspectsError as exc:
             self.line_error(f"<error>{exc}</error>")
             return 3
-        self.line(f"lifted {findings.forgiven[0].fingerprint.hex()}")
+        self.line(f"lifted {findings.cleared[0].fingerprint.hex()}")
         return 0
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Ending, Findings, Trial
+from celerytrack.findings import Crash, Findings, Probe
 from celerytrack.fingerprint import Fingerprint, RequestLine, fingerprint_of, place_of
 from celerytrack.ids import AccountId, EndpointId, EntryId, ReplicaId
 from celerytrack.process_end import ENDING_KNOWN_S, has_ended
@@ -63,7 +63,7 @@
         if not self.book:
             return None
         findings = self.book.own_findings(now_s, time.time())
-        return None if findings.empty else findings
+        return None if findings.is_empty else findings
 
     def hear(self, findings: Findings, now_s: float) -> None:
         """Take what another entry's heartbeat tells."""
@@ -96,7 +96,7 @@
         self, known: Fingerprint, replica: ReplicaId, lasts_s: float
     ) -> bool:
         """Begin to try a request alone; whether this entry may."""
-        trial = Trial(known, EndpointId(replica), lasts_s)
+        trial = Probe(known, EndpointId(replica), lasts_s)
         if self.book.begin_probe(trial, time.monotonic()) is None:
             return False
         try:
@@ -126,13 +126,13 @@
             return
         known = request.fingerprint
         told = self.book.record_success(known, now_s)
-        if not told.empty:
+        if not told.is_empty:
             log_event(
                 _log,
                 Event.SUSPECT_CLEARED,
                 logging.WARNING,
                 fingerprint=known.hex(),
-                endings=[evidence.ending.endpoint_id for evidence in told.forgiven],
+                endings=[evidence.crash.endpoint_id for evidence in told.cleared],
             )
 
     def broke(
@@ -155,7 +155,7 @@
         if not ended:
             self.book.cancel_probe(known)
             return
-        ending = Ending(EndpointId(replica), at_s, model)
+        ending = Crash(EndpointId(replica), at_s, model)
         now_s = time.monotonic()
         self.book.record_crash(ending, [known], now_s)
         log_event(
--- a/src/celerytrack/findings.py
+++ b/src/celerytrack/findings.py
@@ -7,7 +7,7 @@
 
 
 @attrs.frozen
-class Ending:
+class Crash:
     """One process of an endpoint crashed while it ran requests.
 
     :ivar born_ms: start time of the process, which tells restarts under one id apart;
@@ -25,39 +25,40 @@
     """A request was running when an endpoint crashed."""
 
     fingerprint: Fingerprint
-    ending: Ending
+    crash: Crash
 
 
 @attrs.frozen
-class Trial:
+class Probe:
     """An entry sends a suspected request to one endpoint, apart from other suspects.
 
-    :ivar lasts_s: how much longer the probe may last; 0 if it is over.
+    :ivar remaining_s: how much longer the probe may last; 0 if it is over.
     """
 
     fingerprint: Fingerprint
     endpoint_id: EndpointId
-    lasts_s: float
+    remaining_s: float
 
 
 @attrs.frozen
 class Findings:
     """What an entry reports to the others, in a note or in its record.
 
-    :ivar seen: evidence that this entry observed.
-    :ivar forgiven: cleared evidence, of any entry.
-    :ivar trials: this entry's probes.
-    :ivar seen_at_s: when each item of ``seen`` was observed, in Unix seconds, for
+    :ivar evidence: evidence that this entry observed.
+    :ivar cleared: cleared evidence, of any entry.
+    :ivar probes: this entry's probes.
+    :ivar observed_at_s: when each item of ``evidence`` was observed, in Unix seconds,
+    for
         operators; empty in notes.
     """
 
     entry_id: EntryId
-    seen: tuple[Evidence, ...] = ()
-    forgiven: tuple[Evidence, ...] = ()
-    trials: tuple[Trial, ...] = ()
-    seen_at_s: tuple[int, ...] = ()
+    evidence: tuple[Evidence, ...] = ()
+    cleared: tuple[Evidence, ...] = ()
+    probes: tuple[Probe, ...] = ()
+    observed_at_s: tuple[int, ...] = ()
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether there is nothing to report."""
-        return not (self.seen or self.forgiven or self.trials)
+        return not (self.evidence or self.cleared or self.probes)
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -12,7 +12,7 @@
 from celerytrack.endpoints import EndpointBook
 from celerytrack.eras import EraChange, EraWatch
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Ending, Findings
+from celerytrack.findings import Crash, Findings
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.gateway.connections import EndpointConnections
 from celerytrack.gateway.ended_endpoints import EndedEndpoint, EndedEndpoints
@@ -113,9 +113,7 @@
             self._log_shut_out,
         )
         self.suspects_at: collections.Counter[EndpointId] = collections.Counter()
-        self._shut_out: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
-            MAX_SUSPECTS
-        )
+        self._shut_out: LRUCache[Fingerprint, frozenset[Crash]] = LRUCache(MAX_SUSPECTS)
 
     @property
     def leaving(self) -> bool:
@@ -175,7 +173,7 @@
         now_s = time.monotonic()
         registration = ended.endpoint.registration
         self.endpoints.ended(registration.endpoint_id, now_s)
-        ending = Ending(
+        ending = Crash(
             registration.endpoint_id, registration.born_ms, registration.build
         )
         found = self.suspects.book.record_crash(ending, ended.broken, now_s)
@@ -190,14 +188,14 @@
 
     def _hear_findings(self, findings: Findings) -> None:
         now_s = time.monotonic()
-        for evidence in findings.seen:
-            self.endpoints.ended(evidence.ending.endpoint_id, now_s)
+        for evidence in findings.evidence:
+            self.endpoints.ended(evidence.crash.endpoint_id, now_s)
         self.suspects.hear(findings)
 
     def _log_shut_out(self, findings: Findings) -> None:
         """Log once who is shut out by what was found."""
         now_s = time.monotonic()
-        for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
+        for fingerprint in {evidence.fingerprint for evidence in findings.evidence}:
             suspect = self.suspects.book.describe(fingerprint, now_s)
             if suspect.state is not SuspectState.QUARANTINED:
                 continue
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -6,7 +6,7 @@
 
 from celerytrack.endpoint import Choice, Endpoint
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Trial
+from celerytrack.findings import Probe
 from celerytrack.gateway.exchange import AttemptFailure, Exchange
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import EndpointId
@@ -91,7 +91,7 @@
     """
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
-    trial = Trial(fingerprint, endpoint.endpoint_id, exchange.ends_s - now_s)
+    trial = Probe(fingerprint, endpoint.endpoint_id, exchange.ends_s - now_s)
     members = gateway.keeper.members.live(now_s)
     others = [member.entry_id for member in members]
     if not await gateway.suspects.claim(trial, others):
@@ -126,7 +126,7 @@
     if not keeper.book or not keeper.book.has_prefix(exchange.place):
         return
     findings = keeper.book.record_success(exchange.fingerprint, time.monotonic())
-    if findings.empty:
+    if findings.is_empty:
         return
     keeper.publish(findings)
     log_event(
@@ -135,5 +135,5 @@
         logging.WARNING,
         request_id=exchange.facts.request_id,
         fingerprint=exchange.fingerprint.hex(),
-        endings=[evidence.ending.endpoint_id for evidence in findings.forgiven],
+        endings=[evidence.crash.endpoint_id for evidence in findings.cleared],
     )
--- a/src/celerytrack/gateway/suspect_keeper.py
+++ b/src/celerytrack/gateway/suspect_keeper.py
@@ -14,7 +14,7 @@
 
 from celerytrack.eras import EraWatch
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Findings, Trial
+from celerytrack.findings import Findings, Probe
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S, KeyedTail
@@ -91,7 +91,7 @@
 
     def publish(self, findings: Findings) -> None:
         """Tell the others, now and on the log."""
-        if findings.empty:
+        if findings.is_empty:
             return
         self._tell(findings)
         self._change()
@@ -101,7 +101,7 @@
         self.book.merge(findings, False, time.monotonic())
         self._on_change(findings)
 
-    async def claim(self, trial: Trial, others: Sequence[EntryId]) -> bool:
+    async def claim(self, trial: Probe, others: Sequence[EntryId]) -> bool:
         """Begin to try a request alone; whether this entry may.
 
         While the log takes nothing, some may not hear of it: then the first in line
@@ -163,7 +163,7 @@
 
     def _value(self) -> bytes:
         record = self.book.own_findings(time.monotonic(), time.time())
-        return b"" if record.empty else encode_findings(record)
+        return b"" if record.is_empty else encode_findings(record)
 
     async def _append(self, value: bytes) -> None:
         """Append ``value`` as this entry's record, until the store has answered."""
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 
 from celerytrack.eras import EraWatch
-from celerytrack.findings import Ending, Findings, Trial
+from celerytrack.findings import Crash, Findings, Probe
 from celerytrack.gateway.hedged_store import HedgedStore
 from celerytrack.gateway.suspect_keeper import SuspectKeeper
 from celerytrack.ids import EndpointId, EntryId
@@ -115,8 +115,8 @@
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
-        for evidence in findings.seen:
-            self._avoided_s[evidence.ending.endpoint_id] = now_s + AVOIDED_S
+        for evidence in findings.evidence:
+            self._avoided_s[evidence.crash.endpoint_id] = now_s + AVOIDED_S
         self.keeper.hear(findings)
 
     async def serve(
@@ -208,7 +208,7 @@
         others: Sequence[EntryId],
     ) -> bool:
         assert self.keeper is not None
-        trial = Trial(request.fingerprint, endpoint.endpoint_id, TRIAL_S)
+        trial = Probe(request.fingerprint, endpoint.endpoint_id, TRIAL_S)
         return await self.keeper.claim(trial, others)
 
     def _release(self, request: ModelRequest) -> None:
@@ -219,7 +219,7 @@
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
-        ending = Ending(endpoint.endpoint_id, 0, BUILD)
+        ending = Crash(endpoint.endpoint_id, 0, BUILD)
         book = self.keeper.book
         self.keeper.publish(book.record_crash(ending, [request.fingerprint], now_s))
 
--- a/src/celerytrack/platform/suspect_records.py
+++ b/src/celerytrack/platform/suspect_records.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from celerytrack.findings import Ending, Evidence, Findings, Trial
+from celerytrack.findings import Crash, Evidence, Findings, Probe
 from celerytrack.fingerprint import BODY_BYTES, PLACE_BYTES, Fingerprint
 from celerytrack.ids import EndpointId, EntryId
 
@@ -26,22 +26,22 @@
 
 def encode_findings(findings: Findings) -> bytes:
     """The bytes that :func:`decode_findings` reads."""
-    times_s = (*findings.seen_at_s, *itertools.repeat(0, len(findings.seen)))
+    times_s = (*findings.observed_at_s, *itertools.repeat(0, len(findings.evidence)))
     fields = (
         KIND,
         findings.entry_id,
         [
             (*_evidence_fields(evidence), at_s)
-            for evidence, at_s in zip(findings.seen, times_s, strict=False)
+            for evidence, at_s in zip(findings.evidence, times_s, strict=False)
         ],
-        [_evidence_fields(evidence) for evidence in findings.forgiven],
-        [(t.fingerprint, t.endpoint_id, t.lasts_s) for t in findings.trials],
+        [_evidence_fields(evidence) for evidence in findings.cleared],
+        [(t.fingerprint, t.endpoint_id, t.remaining_s) for t in findings.probes],
     )
     return bytes(msgpack.packb(fields))
 
 
 def _evidence_fields(evidence: Evidence) -> tuple[bytes, str, int, str]:
-    ending = evidence.ending
+    ending = evidence.crash
     return evidence.fingerprint, ending.endpoint_id, ending.born_ms, ending.build
 
 
@@ -77,20 +77,18 @@
 def _evidence(item: Any) -> Evidence:
     match item:
         case [bytes(fingerprint), str(endpoint_id), int(born_ms), str(build)]:
-            ending = Ending(
-                EndpointId(_short(endpoint_id)), int(born_ms), _short(build)
-            )
+            ending = Crash(EndpointId(_short(endpoint_id)), int(born_ms), _short(build))
             return Evidence(_fingerprint(fingerprint), ending)
     raise FindingsError(f"no evidence: {str(item)[:100]}")
 
 
-def _trial(item: Any) -> Trial:
+def _trial(item: Any) -> Probe:
     match item:
         case [bytes(fingerprint), str(endpoint_id), int() | float() as lasts_s]:
             if not (math.isfinite(lasts_s) and 0 <= lasts_s <= MOST_LASTS_S):
                 raise FindingsError(f"a trial lasts 0 to {MOST_LASTS_S:.0f} s")
             endpoint = EndpointId(_short(endpoint_id))
-            return Trial(_fingerprint(fingerprint), endpoint, float(lasts_s))
+            return Probe(_fingerprint(fingerprint), endpoint, float(lasts_s))
     raise FindingsError(f"no trial: {str(item)[:100]}")
 
 
--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from celerytrack.findings import Ending, Evidence, Findings, Trial
+from celerytrack.findings import Crash, Evidence, Findings, Probe
 from celerytrack.fingerprint import Fingerprint, Place, place_in
 from celerytrack.ids import EndpointId, EntryId
 
@@ -66,16 +66,16 @@
 class _Suspicion:
     """Crashes of one request, with the times at which this entry learned of them."""
 
-    crashes: dict[Ending, float] = attrs.field(factory=dict)
-    forgiven: dict[Ending, float] = attrs.field(factory=dict)
+    crashes: dict[Crash, float] = attrs.field(factory=dict)
+    cleared: dict[Crash, float] = attrs.field(factory=dict)
 
     @property
-    def uncleared(self) -> list[Ending]:
-        return [ending for ending in self.crashes if ending not in self.forgiven]
+    def uncleared(self) -> list[Crash]:
+        return [crash for crash in self.crashes if crash not in self.cleared]
 
     @property
     def last_change_s(self) -> float:
-        times_s = (*self.crashes.values(), *self.forgiven.values())
+        times_s = (*self.crashes.values(), *self.cleared.values())
         return max(times_s, default=float("-inf"))
 
     @property
@@ -93,7 +93,7 @@
 
     fingerprint: Fingerprint
     state: SuspectState
-    crashes: tuple[Ending, ...]
+    crashes: tuple[Crash, ...]
     quarantine_left_s: float | None
 
 
@@ -125,13 +125,13 @@
     # -- evidence ------------------------------------------------------------
 
     def record_crash(
-        self, ending: Ending, fingerprints: Iterable[Fingerprint], now_s: float
+        self, crash: Crash, fingerprints: Iterable[Fingerprint], now_s: float
     ) -> Findings:
         """Record that an endpoint crashed while it ran requests of this entry.
 
         :returns: what to send to the other entries.
         """
-        found = tuple(Evidence(fingerprint, ending) for fingerprint in fingerprints)
+        found = tuple(Evidence(fingerprint, crash) for fingerprint in fingerprints)
         for evidence in found:
             self._own_evidence[evidence] = now_s
             self._add_crash(evidence, now_s)
@@ -144,9 +144,9 @@
         :param whole: whether they are the entry's complete record, so that its probes
             that are missing there are over.
         """
-        for evidence in findings.seen:
+        for evidence in findings.evidence:
             self._add_crash(evidence, now_s)
-        for evidence in findings.forgiven:
+        for evidence in findings.cleared:
             self._clear(evidence, now_s)
         if complete:
             self._probes = {
@@ -154,16 +154,16 @@
                 for fingerprint, active in self._probes.items()
                 if active.entry_id != findings.entry_id
             }
-        for trial in findings.trials:
-            self._merge_probe(findings.entry_id, trial, now_s)
+        for probe in findings.probes:
+            self._merge_probe(findings.entry_id, probe, now_s)
         self.expire(now_s)
 
     def restore_own(self, findings: Findings, now_s: float) -> None:
         """Restore what this entry found before it was restarted."""
-        for evidence in findings.seen:
+        for evidence in findings.evidence:
             self._own_evidence[evidence] = now_s
             self._add_crash(evidence, now_s)
-        for evidence in findings.forgiven:
+        for evidence in findings.cleared:
             self._own_cleared[evidence] = now_s
             self._clear(evidence, now_s)
 
@@ -178,7 +178,7 @@
         findings = self.lift(fingerprint, now_s)
         if single_crash:
             return Findings(self.entry_id)
-        self._own_cleared.update(dict.fromkeys(findings.forgiven, now_s))
+        self._own_cleared.update(dict.fromkeys(findings.cleared, now_s))
         return findings
 
     def lift(self, fingerprint: Fingerprint, now_s: float) -> Findings:
@@ -189,11 +189,11 @@
         suspicion = self._suspects.get(fingerprint)
         if suspicion is None:
             return Findings(self.entry_id)
-        cleared = tuple(Evidence(fingerprint, ending) for ending in suspicion.uncleared)
+        cleared = tuple(Evidence(fingerprint, crash) for crash in suspicion.uncleared)
         self._probes.pop(fingerprint, None)
         for evidence in cleared:
             self._clear(evidence, now_s)
-        return Findings(self.entry_id, forgiven=cleared)
+        return Findings(self.entry_id, cleared=cleared)
 
     # -- decisions -----------------------------------------------------------
 
@@ -227,26 +227,26 @@
         if suspicion is None:
             return 0.0
         active = self._probes.get(fingerprint)
-        trial_s = active.ends_s - now_s if active else 0.0
+        probe_s = active.ends_s - now_s if active else 0.0
         if len(suspicion.uncleared) < CRASHES_TO_QUARANTINE:
-            return max(0.0, trial_s)
+            return max(0.0, probe_s)
         free_in_s = _quarantine_left_s(suspicion, now_s)
-        return None if free_in_s is None else max(0.0, free_in_s, trial_s)
+        return None if free_in_s is None else max(0.0, free_in_s, probe_s)
 
-    def begin_probe(self, trial: Trial, now_s: float) -> Findings | None:
+    def begin_probe(self, probe: Probe, now_s: float) -> Findings | None:
         """Begin a probe of a request.
 
         :returns: what to send to the other entries; ``None`` if a probe of the request
             is in progress.
         """
-        active = self._probes.get(trial.fingerprint)
+        active = self._probes.get(probe.fingerprint)
         if active is not None and active.ends_s > now_s:
             return None
-        ends_s = now_s + trial.lasts_s
-        self._probes[trial.fingerprint] = _ActiveProbe(
-            self.entry_id, trial.endpoint_id, ends_s
+        ends_s = now_s + probe.remaining_s
+        self._probes[probe.fingerprint] = _ActiveProbe(
+            self.entry_id, probe.endpoint_id, ends_s
         )
-        return Findings(self.entry_id, trials=(trial,))
+        return Findings(self.entry_id, probes=(probe,))
 
     def is_probing(self, fingerprint: Fingerprint) -> bool:
         """Whether this entry has a probe of the request in progress."""
@@ -261,13 +261,13 @@
         if not self.is_probing(fingerprint):
             return Findings(self.entry_id)
         active = self._probes.pop(fingerprint)
-        finished = Trial(fingerprint, active.endpoint_id, 0.0)
-        return Findings(self.entry_id, trials=(finished,))
+        finished = Probe(fingerprint, active.endpoint_id, 0.0)
+        return Findings(self.entry_id, probes=(finished,))
 
     def probed_endpoints(self, now_s: float) -> set[EndpointId]:
         """The endpoints at which probes are in progress."""
         active = self._probes.values()
-        return {trial.endpoint_id for trial in active if trial.ends_s > now_s}
+        return {probe.endpoint_id for probe in active if probe.ends_s > now_s}
 
     # -- reports -----------------------------------------------------------------
 
@@ -277,28 +277,28 @@
         :param day_s: current Unix time.
         """
         self.expire(now_s)
-        seen = sorted(
+        evidence = sorted(
             (e for e in self._own_evidence if self._is_uncleared(e)),
             key=lambda e: (
                 -len(self._suspects[e.fingerprint].uncleared),
                 -self._own_evidence[e],
             ),
         )
-        forgiven = sorted(
+        cleared = sorted(
             self._own_cleared, key=lambda e: self._own_cleared[e], reverse=True
         )
-        trials = [
-            Trial(fingerprint, active.endpoint_id, active.ends_s - now_s)
+        probes = [
+            Probe(fingerprint, active.endpoint_id, active.ends_s - now_s)
             for fingerprint, active in self._probes.items()
             if active.entry_id == self.entry_id and active.ends_s > now_s
         ]
-        seen = seen[:MAX_PUBLISHED]
+        evidence = evidence[:MAX_PUBLISHED]
         return Findings(
             self.entry_id,
-            tuple(seen),
-            tuple(forgiven[:MAX_PUBLISHED]),
-            tuple(trials[:MAX_PUBLISHED]),
-            tuple(int(day_s - now_s + self._own_evidence[e]) for e in seen),
+            tuple(evidence),
+            tuple(cleared[:MAX_PUBLISHED]),
+            tuple(probes[:MAX_PUBLISHED]),
+            tuple(int(day_s - now_s + self._own_evidence[e]) for e in evidence),
         )
 
     def list_suspects(self, now_s: float) -> list[Suspect]:
@@ -362,35 +362,35 @@
 
     def _add_crash(self, evidence: Evidence, now_s: float) -> None:
         suspicion = self._suspicion(evidence.fingerprint)
-        if evidence.ending in suspicion.crashes:
+        if evidence.crash in suspicion.crashes:
             return
-        suspicion.crashes[evidence.ending] = now_s
+        suspicion.crashes[evidence.crash] = now_s
         active = self._probes.get(evidence.fingerprint)
-        if active is not None and active.endpoint_id == evidence.ending.endpoint_id:
+        if active is not None and active.endpoint_id == evidence.crash.endpoint_id:
             del self._probes[evidence.fingerprint]
 
     def _clear(self, evidence: Evidence, now_s: float) -> None:
         suspicion = self._suspicion(evidence.fingerprint)
-        suspicion.forgiven.setdefault(evidence.ending, now_s)
+        suspicion.cleared.setdefault(evidence.crash, now_s)
         if not suspicion.uncleared:
             self._probes.pop(evidence.fingerprint, None)
 
-    def _merge_probe(self, entry_id: EntryId, trial: Trial, now_s: float) -> None:
-        active = self._probes.get(trial.fingerprint)
-        if trial.lasts_s <= 0:
+    def _merge_probe(self, entry_id: EntryId, probe: Probe, now_s: float) -> None:
+        active = self._probes.get(probe.fingerprint)
+        if probe.remaining_s <= 0:
             if active is not None and active.entry_id == entry_id:
-                del self._probes[trial.fingerprint]
+                del self._probes[probe.fingerprint]
             return
         # If two entries begin a probe at the same moment, the lower id wins everywhere.
         if active is None or active.ends_s <= now_s or entry_id <= active.entry_id:
-            ends_s = now_s + trial.lasts_s
-            self._probes[trial.fingerprint] = _ActiveProbe(
-                entry_id, trial.endpoint_id, ends_s
+            ends_s = now_s + probe.remaining_s
+            self._probes[probe.fingerprint] = _ActiveProbe(
+                entry_id, probe.endpoint_id, ends_s
             )
 
     def _is_uncleared(self, evidence: Evidence) -> bool:
         suspicion = self._suspects.get(evidence.fingerprint)
-        return suspicion is not None and evidence.ending not in suspicion.forgiven
+        return suspicion is not None and evidence.crash not in suspicion.cleared
 
 
 def _quarantine_left_s(suspicion: _Suspicion, now_s: float) -> float | None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -14,7 +14,7 @@
     read_suspects,
     suspect_rows,
 )
-from celerytrack.findings import Ending, Trial
+from celerytrack.findings import Crash, Probe
 from celerytrack.fingerprint import Place, fingerprint_of
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import AccountId, EndpointId, EntryId, ServiceName
@@ -211,14 +211,14 @@
         self.fleet = await self.enterAsyncContext(Fleet(gateways=1))
         self.keeper = self.fleet.gateways[0].suspects
         for number in range(2):
-            ending = Ending(EndpointId(f"i-{number}"))
+            ending = Crash(EndpointId(f"i-{number}"))
             self.keeper.book.record_crash(ending, [self.known], time.monotonic())
 
     async def test_a_cancelled_claim_is_released(self) -> None:
         """The caller left while the claim was published. The claim then lasted until
         its deadline, and no entry could probe the request."""
         self.fleet.log.silent = True
-        trial = Trial(self.known, EndpointId("i-9"), 60.0)
+        trial = Probe(self.known, EndpointId("i-9"), 60.0)
         claim = asyncio.create_task(self.keeper.claim(trial, []))
         await asyncio.sleep(0.1)
         self.assertTrue(self.keeper.book.is_probing(self.known))
@@ -250,9 +250,9 @@
             keeper = fleet.gateways[0].suspects
             fleet.log.refused.add(SUSPECTS_TOPIC)
             for number in range(2):
-                ending = Ending(EndpointId(f"i-{number}"))
+                ending = Crash(EndpointId(f"i-{number}"))
                 keeper.book.record_crash(ending, [known], time.monotonic())
-            trial = Trial(known, EndpointId("i-9"), 60.0)
+            trial = Probe(known, EndpointId("i-9"), 60.0)
             self.assertEqual(await keeper.claim(trial, others), may)
 
 
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -10,7 +10,7 @@
 from celerytrack.entry.peers import PeerNews
 from celerytrack.entry.state import EntryState
 from celerytrack.entry.suspects import EntrySuspects
-from celerytrack.findings import Findings, Trial
+from celerytrack.findings import Findings, Probe
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.ids import EndpointId, EntryId, ReplicaId
 from celerytrack.load.mix import MIXES
@@ -73,8 +73,8 @@
         """A trial that showed nothing was held against the request for a minute."""
         state = EntryState(load_json(FLEET_JSON, FleetSettings), "entry-1")
         other = EntryId("entry-2")
-        trial = Trial(KNOWN, EndpointId("r"), 60.0)
-        heartbeat = PeerNews(other, "b", 1, False, {}, Findings(other, trials=(trial,)))
+        trial = Probe(KNOWN, EndpointId("r"), 60.0)
+        heartbeat = PeerNews(other, "b", 1, False, {}, Findings(other, probes=(trial,)))
         state._heard(heartbeat)
         now_s = time.monotonic()
         self.assertEqual(state.suspects.book.probed_endpoints(now_s), {"r"})
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from celerytrack.findings import Ending, Evidence, Findings, Trial
+from celerytrack.findings import Crash, Evidence, Findings, Probe
 from celerytrack.fingerprint import Fingerprint, Place, fingerprint_of, place_in
 from celerytrack.ids import EndpointId, EntryId
 from celerytrack.platform.suspect_records import (
@@ -33,8 +33,8 @@
 V2 = "s v2"
 
 
-def _ending(number: int, build: str = V1) -> Ending:
-    return Ending(EndpointId(f"i-{number}"), 0, build)
+def _ending(number: int, build: str = V1) -> Crash:
+    return Crash(EndpointId(f"i-{number}"), 0, build)
 
 
 def _book(
@@ -69,7 +69,7 @@
     def test_crashes_of_restarts_under_one_id_all_count(self) -> None:
         book = SuspectTracker(ME)
         for born_ms in (1, 2, 3):
-            ending = Ending(EndpointId("i-0"), born_ms, V1)
+            ending = Crash(EndpointId("i-0"), born_ms, V1)
             book.record_crash(ending, [BAD], 0.0)
         self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
@@ -146,8 +146,8 @@
 
 
 class ProbeTest(unittest.TestCase):
-    def _probe(self, lasts_s: float = 5.0) -> Trial:
-        return Trial(BAD, EndpointId("i-9"), lasts_s)
+    def _probe(self, lasts_s: float = 5.0) -> Probe:
+        return Probe(BAD, EndpointId("i-9"), lasts_s)
 
     def test_one_entry_at_a_time_probes_a_request(self) -> None:
         book = _book(2)
@@ -158,7 +158,7 @@
 
     def test_a_probe_of_an_entry_that_is_gone_expires(self) -> None:
         book = _book(2)
-        book.merge(Findings(OTHER, trials=(self._probe(),)), False, 0.0)
+        book.merge(Findings(OTHER, probes=(self._probe(),)), False, 0.0)
         self.assertIsNone(book.begin_probe(self._probe(), 4.9))
         self.assertIsNotNone(book.begin_probe(self._probe(), 5.0))
 
@@ -168,13 +168,13 @@
     ) -> None:
         book = _book(2)
         book.begin_probe(self._probe(), 0.0)
-        book.merge(Findings(other, trials=(self._probe(),)), False, 0.001)
+        book.merge(Findings(other, probes=(self._probe(),)), False, 0.001)
         self.assertEqual(book.is_probing(BAD), wins)
 
     @params(
         (
             "its endpoint crashed",
-            lambda b: b.record_crash(Ending(EndpointId("i-9")), [BAD], 1),
+            lambda b: b.record_crash(Crash(EndpointId("i-9")), [BAD], 1),
         ),
         ("the request succeeded", lambda b: b.record_success(BAD, 1.0)),
         ("its record no longer lists it", lambda b: b.merge(Findings(ME), True, 1.0)),
@@ -202,10 +202,10 @@
         request."""
         book = _book(2)
         trials = tuple(
-            Trial(fingerprint_of(PLACE, b"%d" % n), EndpointId("i-9"), 5.0)
+            Probe(fingerprint_of(PLACE, b"%d" % n), EndpointId("i-9"), 5.0)
             for n in range(100)
         )
-        book.merge(Findings(OTHER, trials=trials), False, 0.0)
+        book.merge(Findings(OTHER, probes=trials), False, 0.0)
         book.expire(4.0)
         self.assertEqual(len(book._probes), 100)
         book.expire(6.0)
@@ -220,8 +220,8 @@
         self.assertLessEqual(len(book), MAX_SUSPECTS)
         self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
         record = book.own_findings(1.0)
-        self.assertEqual(len(record.seen), MAX_PUBLISHED)
-        self.assertIn(BAD, {evidence.fingerprint for evidence in record.seen})
+        self.assertEqual(len(record.evidence), MAX_PUBLISHED)
+        self.assertIn(BAD, {evidence.fingerprint for evidence in record.evidence})
 
     def test_findings_survive_a_restart_of_the_entry(self) -> None:
         previous = _book(3)
@@ -232,8 +232,8 @@
 
     def test_clearing_a_single_crash_is_not_reported(self) -> None:
         book = _book(1)
-        self.assertTrue(book.record_success(BAD, 1.0).empty)
-        self.assertTrue(book.own_findings(1.0).empty)
+        self.assertTrue(book.record_success(BAD, 1.0).is_empty)
+        self.assertTrue(book.own_findings(1.0).is_empty)
 
 
 _EVIDENCE = st.tuples(st.sampled_from((BAD, GOOD)), st.integers(0, 4))
@@ -253,9 +253,9 @@
         seed: int,
     ) -> None:
         """Notes arrive late or twice; entries must still reach the same state."""
-        sent = [Findings(OTHER, seen=(Evidence(f, _ending(n)),)) for f, n in seen]
+        sent = [Findings(OTHER, evidence=(Evidence(f, _ending(n)),)) for f, n in seen]
         sent += [
-            Findings(OTHER, forgiven=(Evidence(f, _ending(n)),)) for f, n in forgiven
+            Findings(OTHER, cleared=(Evidence(f, _ending(n)),)) for f, n in forgiven
         ]
         shuffled = [*sent, *sent[::2]]
         random.Random(seed).shuffle(shuffled)
@@ -273,8 +273,8 @@
         findings = Findings(
             ME,
             (Evidence(BAD, _ending(1)),),
-            (Evidence(GOOD, Ending(EndpointId("i-2"), 7, V2)),),
-            (Trial(BAD, EndpointId("i-3"), 2.5),),
+            (Evidence(GOOD, Crash(EndpointId("i-2"), 7, V2)),),
+            (Probe(BAD, EndpointId("i-3"), 2.5),),
             (1_700_000_000,),
         )
         self.assertEqual(decode_findings(encode_findings(findings)), findings)
