--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -14,11 +14,11 @@
 
 from celerytrack.events import Event, log_event
 from celerytrack.findings import Crash, Findings, Probe
-from celerytrack.fingerprint import Fingerprint, RequestLine, fingerprint_of, place_of
+from celerytrack.fingerprint import Fingerprint, RequestHead, fingerprint_of, prefix_of
 from celerytrack.ids import AccountId, EndpointId, EntryId, ReplicaId
 from celerytrack.process_end import ENDING_KNOWN_S, has_ended
 from celerytrack.settings import WorkClass
-from celerytrack.suspect_logs import log_shut_out
+from celerytrack.suspect_logs import log_quarantined
 from celerytrack.suspects import SuspectState, SuspectTracker
 from celerytrack.verdict import Reason, Refusal, did_not_run
 
@@ -38,8 +38,8 @@
 def fingerprint(work: WorkClass, account: str, body: object) -> Fingerprint:
     """What a repeat of a request has as well: class of work, caller and body."""
     raw = json.dumps(body, sort_keys=True).encode()
-    line = RequestLine("POST", "", work.name, AccountId(account), len(raw))
-    return fingerprint_of(place_of(line), raw)
+    line = RequestHead("POST", "", work.name, AccountId(account), len(raw))
+    return fingerprint_of(prefix_of(line), raw)
 
 
 class Fingerprinted(Protocol):
@@ -167,4 +167,4 @@
         )
         suspect = self.book.describe(known, now_s)
         if suspect.state is SuspectState.QUARANTINED:
-            log_shut_out(_log, suspect)
+            log_quarantined(_log, suspect)
--- a/src/celerytrack/findings.py
+++ b/src/celerytrack/findings.py
@@ -42,14 +42,13 @@
 
 @attrs.frozen
 class Findings:
-    """What an entry reports to the others, in a note or in its record.
+    """What an entry reports to the others, in a peer message or in its record.
 
     :ivar evidence: evidence that this entry observed.
     :ivar cleared: cleared evidence, of any entry.
     :ivar probes: this entry's probes.
     :ivar observed_at_s: when each item of ``evidence`` was observed, in Unix seconds,
-    for
-        operators; empty in notes.
+        for operators; empty in peer messages.
     """
 
     entry_id: EntryId
--- a/src/celerytrack/fingerprint.py
+++ b/src/celerytrack/fingerprint.py
@@ -15,19 +15,19 @@
 
 from celerytrack.ids import AccountId
 
-PLACE_BYTES = 6
-BODY_BYTES = 10
+PREFIX_BYTES = 6
+BODY_DIGEST_BYTES = 10
 """Requests of one caller to one path differ only in the body. 80 bits make a collision
 among all bodies ever sent unlikely."""
 
-Place = NewType("Place", bytes)
+FingerprintPrefix = NewType("FingerprintPrefix", bytes)
 """Digest of everything but the body's bytes: destination, caller and body length."""
 Fingerprint = NewType("Fingerprint", bytes)
-"""A :data:`Place`, followed by the digest of the body."""
+"""A :data:`FingerprintPrefix`, followed by the digest of the body."""
 
 
 @attrs.frozen
-class RequestLine:
+class RequestHead:
     """A request without the bytes of its body.
 
     :ivar path: path and query, as sent by the caller.
@@ -41,21 +41,21 @@
     body_bytes: int
 
 
-def place_of(line: RequestLine) -> Place:
+def prefix_of(head: RequestHead) -> FingerprintPrefix:
     """The first part of the fingerprint of a request."""
     # Length prefixes keep different fields from joining to the same text.
-    texts = (line.method, line.host, line.path, line.account or "")
+    texts = (head.method, head.host, head.path, head.account or "")
     joined = "".join(f"{len(text)}:{text}" for text in texts)
-    data = f"{joined}{line.body_bytes}".encode(errors="surrogateescape")
-    return Place(hashlib.blake2b(data, digest_size=PLACE_BYTES).digest())
+    data = f"{joined}{head.body_bytes}".encode(errors="surrogateescape")
+    return FingerprintPrefix(hashlib.blake2b(data, digest_size=PREFIX_BYTES).digest())
 
 
-def fingerprint_of(place: Place, body: bytes) -> Fingerprint:
-    """The fingerprint that begins with ``place`` and covers ``body``."""
-    digest = hashlib.blake2b(body, digest_size=BODY_BYTES).digest()
-    return Fingerprint(place + digest)
+def fingerprint_of(prefix: FingerprintPrefix, body: bytes) -> Fingerprint:
+    """The fingerprint that begins with ``prefix`` and covers ``body``."""
+    digest = hashlib.blake2b(body, digest_size=BODY_DIGEST_BYTES).digest()
+    return Fingerprint(prefix + digest)
 
 
-def place_in(fingerprint: Fingerprint) -> Place:
+def prefix_in(fingerprint: Fingerprint) -> FingerprintPrefix:
     """The first part of ``fingerprint``."""
-    return Place(fingerprint[:PLACE_BYTES])
+    return FingerprintPrefix(fingerprint[:PREFIX_BYTES])
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -9,10 +9,10 @@
 from celerytrack.endpoint import Choice, Need
 from celerytrack.fingerprint import (
     Fingerprint,
-    Place,
-    RequestLine,
+    FingerprintPrefix,
+    RequestHead,
     fingerprint_of,
-    place_of,
+    prefix_of,
 )
 from celerytrack.ids import AccountId, EndpointId, ServiceName
 from celerytrack.loop_time import loop_time
@@ -92,21 +92,21 @@
     response: web.StreamResponse | None = None
     events: EventCutter = attrs.field(factory=EventCutter)
     scope: asyncio.Timeout | None = None
-    _place: Place | None = None
+    _place: FingerprintPrefix | None = None
     _fingerprint: Fingerprint | None = None
 
     @property
-    def place(self) -> Place:
+    def place(self) -> FingerprintPrefix:
         """The first half of its fingerprint, made when first asked for."""
         if self._place is None:
-            line = RequestLine(
+            line = RequestHead(
                 method=self.request.method,
                 host=self.facts.host,
                 path=self.request.raw_path,
                 account=self.account,
                 body_bytes=len(self.body),
             )
-            self._place = place_of(line)
+            self._place = prefix_of(line)
         return self._place
 
     @property
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -35,7 +35,7 @@
 from celerytrack.platform.store import StoreClient
 from celerytrack.retries import RetryBudget
 from celerytrack.routes import RoutingTable
-from celerytrack.suspect_logs import log_shut_out
+from celerytrack.suspect_logs import log_quarantined
 from celerytrack.suspects import MAX_SUSPECTS, SuspectState
 
 _log = logging.getLogger(__name__)
@@ -203,7 +203,7 @@
             if self._shut_out.get(fingerprint) == endings:
                 continue
             self._shut_out[fingerprint] = endings
-            log_shut_out(_log, suspect)
+            log_quarantined(_log, suspect)
 
     def count_suspects(self) -> None:
         """Have the metrics tell how many requests are under suspicion."""
--- a/src/celerytrack/lab/crash_fleet.py
+++ b/src/celerytrack/lab/crash_fleet.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from celerytrack.findings import Findings
-from celerytrack.fingerprint import Fingerprint, Place, fingerprint_of
+from celerytrack.fingerprint import Fingerprint, FingerprintPrefix, fingerprint_of
 from celerytrack.lab.after_return import most_in_a_second
 from celerytrack.lab.crash_endpoints import ModelRequest, ModelService
 from celerytrack.lab.crash_entry import CrashEntry, ModelAnswer
@@ -36,7 +36,7 @@
 """What share of harmless requests are repeats of a few."""
 THIRD = 1 / 3
 STOPS_PAUSE_S = 0.2
-_PLACE = Place(b"place!")
+_PLACE = FingerprintPrefix(b"place!")
 
 
 class CrashFleet:
--- a/src/celerytrack/platform/suspect_records.py
+++ b/src/celerytrack/platform/suspect_records.py
@@ -7,7 +7,7 @@
 import msgpack
 
 from celerytrack.findings import Crash, Evidence, Findings, Probe
-from celerytrack.fingerprint import BODY_BYTES, PLACE_BYTES, Fingerprint
+from celerytrack.fingerprint import BODY_DIGEST_BYTES, PREFIX_BYTES, Fingerprint
 from celerytrack.ids import EndpointId, EntryId
 
 KIND = "suspects"
@@ -99,8 +99,10 @@
 
 
 def _fingerprint(raw: bytes) -> Fingerprint:
-    if len(raw) != PLACE_BYTES + BODY_BYTES:
-        raise FindingsError(f"a fingerprint has {PLACE_BYTES + BODY_BYTES} bytes")
+    if len(raw) != PREFIX_BYTES + BODY_DIGEST_BYTES:
+        raise FindingsError(
+            f"a fingerprint has {PREFIX_BYTES + BODY_DIGEST_BYTES} bytes"
+        )
     return Fingerprint(raw)
 
 
--- a/src/celerytrack/suspect_logs.py
+++ b/src/celerytrack/suspect_logs.py
@@ -6,7 +6,7 @@
 from celerytrack.suspects import Suspect
 
 
-def log_shut_out(logger: logging.Logger, suspect: Suspect) -> None:
+def log_quarantined(logger: logging.Logger, suspect: Suspect) -> None:
     """Log that a request is quarantined, after which crashes and for how long."""
     log_event(
         logger,
--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -15,7 +15,7 @@
 import attrs
 
 from celerytrack.findings import Crash, Evidence, Findings, Probe
-from celerytrack.fingerprint import Fingerprint, Place, place_in
+from celerytrack.fingerprint import Fingerprint, FingerprintPrefix, prefix_in
 from celerytrack.ids import EndpointId, EntryId
 
 CRASHES_TO_PROBE = 2
@@ -34,7 +34,7 @@
 """Share of the suspects that is evicted at once when there are too many."""
 EXPIRE_INTERVAL_S = 1.0
 """Shortest time between two expiry passes. With thousands of suspects one pass takes a
-few ms, and notes of other entries arrive by the dozen."""
+few ms, and peer messages arrive by the dozen."""
 MAX_PUBLISHED = 64
 """Most items of each kind in an entry's own record. Evidence against the requests with
 the most crashes goes first."""
@@ -106,7 +106,7 @@
     def __init__(self, entry_id: EntryId) -> None:
         self.entry_id = entry_id
         self._suspects: dict[Fingerprint, _Suspicion] = {}
-        self._prefix_counts: dict[Place, int] = {}
+        self._prefix_counts: dict[FingerprintPrefix, int] = {}
         self._probes: dict[Fingerprint, _ActiveProbe] = {}
         self._own_evidence: dict[Evidence, float] = {}
         self._own_cleared: dict[Evidence, float] = {}
@@ -115,12 +115,12 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def has_prefix(self, place: Place) -> bool:
-        """Whether a suspect's fingerprint begins with ``place``.
+    def has_prefix(self, prefix: FingerprintPrefix) -> bool:
+        """Whether a suspect's fingerprint begins with ``prefix``.
 
         The bodies of other requests need not be hashed.
         """
-        return place in self._prefix_counts
+        return prefix in self._prefix_counts
 
     # -- evidence ------------------------------------------------------------
 
@@ -347,17 +347,17 @@
     def _evict(self, fingerprint: Fingerprint) -> None:
         del self._suspects[fingerprint]
         self._probes.pop(fingerprint, None)
-        place = place_in(fingerprint)
-        self._prefix_counts[place] -= 1
-        if not self._prefix_counts[place]:
-            del self._prefix_counts[place]
+        prefix = prefix_in(fingerprint)
+        self._prefix_counts[prefix] -= 1
+        if not self._prefix_counts[prefix]:
+            del self._prefix_counts[prefix]
 
     def _suspicion(self, fingerprint: Fingerprint) -> _Suspicion:
         suspicion = self._suspects.get(fingerprint)
         if suspicion is None:
             suspicion = self._suspects[fingerprint] = _Suspicion()
-            place = place_in(fingerprint)
-            self._prefix_counts[place] = self._prefix_counts.get(place, 0) + 1
+            prefix = prefix_in(fingerprint)
+            self._prefix_counts[prefix] = self._prefix_counts.get(prefix, 0) + 1
         return suspicion
 
     def _add_crash(self, evidence: Evidence, now_s: float) -> None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -15,7 +15,7 @@
     suspect_rows,
 )
 from celerytrack.findings import Crash, Probe
-from celerytrack.fingerprint import Place, fingerprint_of
+from celerytrack.fingerprint import FingerprintPrefix, fingerprint_of
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import AccountId, EndpointId, EntryId, ServiceName
 from celerytrack.platform.store import StoreClient
@@ -207,7 +207,7 @@
     """Claims of probes that end before the request is sent."""
 
     async def asyncSetUp(self) -> None:
-        self.known = fingerprint_of(Place(b"place!"), MARKER)
+        self.known = fingerprint_of(FingerprintPrefix(b"place!"), MARKER)
         self.fleet = await self.enterAsyncContext(Fleet(gateways=1))
         self.keeper = self.fleet.gateways[0].suspects
         for number in range(2):
@@ -242,7 +242,8 @@
         known = next(
             known
             for known in (
-                fingerprint_of(Place(b"place!"), b"%d" % n) for n in range(100)
+                fingerprint_of(FingerprintPrefix(b"place!"), b"%d" % n)
+                for n in range(100)
             )
             if rendezvous(known.hex(), [*others, book.entry_id], 1) == [first]
         )
@@ -356,7 +357,7 @@
 
     def test_a_large_body_is_hashed_quickly(self) -> None:
         """Hashing of large bodies delayed the streams that an entry relays."""
-        place = Place(b"place!")
+        place = FingerprintPrefix(b"place!")
         body = bytes(4 * 1024 * 1024)
         began_s = time.perf_counter()
         fingerprint_of(place, body)
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -6,16 +6,16 @@
 from nose2.tools import params
 
 from celerytrack.fingerprint import (
-    BODY_BYTES,
-    PLACE_BYTES,
-    RequestLine,
+    BODY_DIGEST_BYTES,
+    PREFIX_BYTES,
+    RequestHead,
     fingerprint_of,
-    place_in,
-    place_of,
+    prefix_in,
+    prefix_of,
 )
 from celerytrack.ids import AccountId
 
-LINE = RequestLine("POST", "h.example", "/plain/a?x=1", AccountId("t"), 4)
+LINE = RequestHead("POST", "h.example", "/plain/a?x=1", AccountId("t"), 4)
 
 
 class FingerprintTest(unittest.TestCase):
@@ -33,18 +33,18 @@
         self, _: str, fields: dict[str, object]
     ) -> None:
         other = attrs.evolve(LINE, **fields)  # type: ignore[arg-type]
-        self.assertNotEqual(place_of(LINE), place_of(other))
+        self.assertNotEqual(prefix_of(LINE), prefix_of(other))
 
     def test_a_path_that_is_no_text_has_a_place(self) -> None:
-        place = place_of(attrs.evolve(LINE, path="/plain/\udcff"))
-        self.assertEqual(len(place), PLACE_BYTES)
+        prefix = prefix_of(attrs.evolve(LINE, path="/plain/\udcff"))
+        self.assertEqual(len(prefix), PREFIX_BYTES)
 
     @params((b"body", True), (b"ydob", False))
     def test_the_body_tells_requests_at_one_place_apart(
         self, body: bytes, same: bool
     ) -> None:
-        place = place_of(LINE)
-        one = fingerprint_of(place, b"body")
-        self.assertEqual(one == fingerprint_of(place, body), same)
-        self.assertEqual(len(one), PLACE_BYTES + BODY_BYTES)
-        self.assertEqual(place_in(one), place)
+        prefix = prefix_of(LINE)
+        one = fingerprint_of(prefix, b"body")
+        self.assertEqual(one == fingerprint_of(prefix, body), same)
+        self.assertEqual(len(one), PREFIX_BYTES + BODY_DIGEST_BYTES)
+        self.assertEqual(prefix_in(one), prefix)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -8,7 +8,12 @@
 from nose2.tools import params
 
 from celerytrack.findings import Crash, Evidence, Findings, Probe
-from celerytrack.fingerprint import Fingerprint, Place, fingerprint_of, place_in
+from celerytrack.fingerprint import (
+    Fingerprint,
+    FingerprintPrefix,
+    fingerprint_of,
+    prefix_in,
+)
 from celerytrack.ids import EndpointId, EntryId
 from celerytrack.platform.suspect_records import (
     FindingsError,
@@ -26,9 +31,9 @@
 
 ME = EntryId("e0")
 OTHER = EntryId("e1")
-PLACE = Place(b"place!")
-BAD = fingerprint_of(PLACE, b"bad")
-GOOD = fingerprint_of(PLACE, b"good")
+PREFIX = FingerprintPrefix(b"place!")
+BAD = fingerprint_of(PREFIX, b"bad")
+GOOD = fingerprint_of(PREFIX, b"good")
 V1 = "s v1"
 V2 = "s v2"
 
@@ -87,7 +92,7 @@
     ) -> None:
         """A harmless request that ran beside two crashing ones was suspected too."""
         book = SuspectTracker(ME)
-        worse = fingerprint_of(PLACE, b"worse")
+        worse = fingerprint_of(PREFIX, b"worse")
         for number in range(3):
             book.record_crash(_ending(number), [BAD, worse, GOOD], 0.0)
             book.record_success(GOOD, 0.1)
@@ -195,14 +200,14 @@
         book.record_crash(_ending(0), [GOOD], 0.0)
         book.expire(SUSPECT_TTL_S + 1)
         self.assertEqual(len(book), 1)
-        self.assertTrue(book.has_prefix(place_in(BAD)))
+        self.assertTrue(book.has_prefix(prefix_in(BAD)))
 
     def test_probes_of_entries_that_are_gone_are_removed(self) -> None:
         """Probes that were never ended stayed in memory and were scanned for each
         request."""
         book = _book(2)
         trials = tuple(
-            Probe(fingerprint_of(PLACE, b"%d" % n), EndpointId("i-9"), 5.0)
+            Probe(fingerprint_of(PREFIX, b"%d" % n), EndpointId("i-9"), 5.0)
             for n in range(100)
         )
         book.merge(Findings(OTHER, probes=trials), False, 0.0)
@@ -214,7 +219,8 @@
     def test_eviction_keeps_the_requests_with_most_crashes(self) -> None:
         book = _book(3)
         many = [
-            fingerprint_of(Place(b"other!"), b"%d" % n) for n in range(MAX_SUSPECTS)
+            fingerprint_of(FingerprintPrefix(b"other!"), b"%d" % n)
+            for n in range(MAX_SUSPECTS)
         ]
         book.record_crash(_ending(7), many, 1.0)
         self.assertLessEqual(len(book), MAX_SUSPECTS)
