--- a/src/celerytrack/endpoint.py
+++ b/src/celerytrack/endpoint.py
@@ -7,15 +7,15 @@
 
 from celerytrack.ids import EndpointId, ServiceName, Zone
 
-SERVICE_S = 0.03
+INITIAL_LATENCY_S = 0.03
 """Assumed latency of a plain call until an endpoint has answered some."""
-LATENCY_GAIN = 0.1
+LATENCY_EWMA_WEIGHT = 0.1
 """Weight of the newest answer in the moving averages of latency and slowness."""
 SLOWNESS_RANGE = (0.3, 10.0)
-CACHE_PARTS = 2048
+MAX_CACHED_PARTS = 2048
 """Prompt parts remembered per engine. An engine caches several times fewer, so the
 limit bounds memory without hiding cached parts."""
-CACHE_KEPT_S = 20.0
+CACHE_TTL_S = 20.0
 """A part that was not used for this long may have been evicted by the engine."""
 
 
@@ -48,11 +48,11 @@
         return f"{self.service} {self.version}"
 
     @property
-    def numbered(self) -> bool:
+    def is_ordered(self) -> bool:
         """Whether records of this endpoint can be put in order."""
         return (self.born_ms, self.sequence) != (0, 0)
 
-    def older_than(self, other: "Registration") -> bool:
+    def is_older_than(self, other: "Registration") -> bool:
         """Whether ``other``, a record of the same id, was written after this one.
 
         Records may arrive out of order. A late record of an earlier process would
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class Need:
+class RequestProfile:
     """The service and the prompt of a request, by which an endpoint is chosen.
 
     :ivar parts: ``(key, tokens)`` of the prompt's parts, in order; a key
@@ -74,7 +74,7 @@
     parts: tuple[tuple[str, int], ...] = ()
 
     @property
-    def own_tokens(self) -> int:
+    def unshared_tokens(self) -> int:
         """Tokens of the last part, which no other request shares."""
         return self.parts[-1][1] if self.parts else 0
 
@@ -84,7 +84,7 @@
         return sum(size for _, size in self.parts)
 
     @property
-    def session(self) -> str:
+    def session_key(self) -> str:
         """Key of the last shared part; it determines the home engine."""
         if not self.parts:
             return ""
@@ -96,67 +96,70 @@
     """One endpoint as this entry sees it.
 
     :ivar running: requests of this entry in progress there.
-    :ivar unread_s: engine time to prefill the pending prompts of this entry.
-    :ivar noted_s: engine time to prefill the pending prompts of other entries, as of
-        ``noted_at_s``.
+    :ivar pending_prefill_s: engine time to prefill the pending prompts of this entry.
+    :ivar peer_prefill_s: engine time to prefill the pending prompts of other entries,
+        as of ``peer_prefill_at_s``.
     :ivar latency_s: moving average of the latency of plain calls.
     :ivar slowness: moving average of measured over predicted time to first token.
     :ivar cold_until_s: end of its warm-up.
-    :ivar failing: moving average of the share of failed answers.
-    :ivar failures: connection failures since the last success.
-    :ivar avoided_until_s: until when it is ejected.
-    :ivar gone_at_s: when its registration disappeared; ``None`` while it is registered.
+    :ivar failure_rate: moving average of the share of failed answers.
+    :ivar consecutive_failures: connection failures since the last success.
+    :ivar ejected_until_s: until when it is ejected.
+    :ivar deregistered_at_s: when its registration disappeared; ``None`` while it is
+        registered.
     """
 
     registration: Registration
     running: int = 0
-    unread_s: float = 0.0
-    noted_s: float = 0.0
-    noted_at_s: float = 0.0
-    latency_s: float = SERVICE_S
+    pending_prefill_s: float = 0.0
+    peer_prefill_s: float = 0.0
+    peer_prefill_at_s: float = 0.0
+    latency_s: float = INITIAL_LATENCY_S
     slowness: float = 1.0
     cold_until_s: float = 0.0
-    failing: float = 0.0
-    failures: int = 0
-    avoided_until_s: float = 0.0
-    gone_at_s: float | None = None
+    failure_rate: float = 0.0
+    consecutive_failures: int = 0
+    ejected_until_s: float = 0.0
+    deregistered_at_s: float | None = None
     _cached_parts: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
 
     @property
     def endpoint_id(self) -> EndpointId:
         return self.registration.endpoint_id
 
-    def note(self, work_s: float, now_s: float) -> None:
+    def add_peer_prefill(self, work_s: float, now_s: float) -> None:
         """Count a prompt of another entry that takes ``work_s`` to prefill."""
-        self.noted_s = self.noted_unread_s(now_s) + work_s
-        self.noted_at_s = now_s
+        self.peer_prefill_s = self.peer_prefill_left_s(now_s) + work_s
+        self.peer_prefill_at_s = now_s
 
-    def noted_unread_s(self, now_s: float) -> float:
+    def peer_prefill_left_s(self, now_s: float) -> float:
         """Estimated engine time for the pending prompts of other entries."""
-        prefilled_s = (now_s - self.noted_at_s) / self.slowness
-        return max(0.0, self.noted_s - prefilled_s)
+        prefilled_s = (now_s - self.peer_prefill_at_s) / self.slowness
+        return max(0.0, self.peer_prefill_s - prefilled_s)
 
-    def unread(self, need: Need, at_home: bool, now_s: float) -> int:
+    def uncached_tokens(
+        self, profile: RequestProfile, at_home: bool, now_s: float
+    ) -> int:
         """Tokens of the prompt that this engine would have to prefill.
 
         :param at_home: whether the engine is the session's home, which has all shared
             parts in its cache.
         """
-        shared = len(need.parts) - 1 if at_home else 0
+        shared = len(profile.parts) - 1 if at_home else 0
         tokens = 0
         missing = False
-        for i, (key, size) in enumerate(need.parts):
-            cached = now_s - self._cached_parts.get(key, -math.inf) < CACHE_KEPT_S
+        for i, (key, size) in enumerate(profile.parts):
+            cached = now_s - self._cached_parts.get(key, -math.inf) < CACHE_TTL_S
             missing = missing or not (cached or i < shared)
             tokens += size if missing else 0
         return tokens
 
-    def touch(self, need: Need, now_s: float) -> None:
+    def cache_prompt(self, profile: RequestProfile, now_s: float) -> None:
         """Record that the engine has the prompt in its cache."""
-        for key, _ in need.parts:
+        for key, _ in profile.parts:
             self._cached_parts[key] = now_s
             self._cached_parts.move_to_end(key)
-        while len(self._cached_parts) > CACHE_PARTS:
+        while len(self._cached_parts) > MAX_CACHED_PARTS:
             self._cached_parts.popitem(last=False)
 
 
@@ -174,45 +177,45 @@
 
 
 @attrs.define
-class Sent:
+class Dispatch:
     """One request sent to an endpoint.
 
     :ivar work_s: engine time to prefill its prompt.
-    :ivar read: whether its prompt was prefilled.
+    :ivar prefilled: whether its prompt was prefilled.
     """
 
     endpoint: Endpoint
-    at_s: float
+    sent_at_s: float
     predicted_s: float
     work_s: float
-    read: bool = False
-    ended: bool = False
+    prefilled: bool = False
+    finished: bool = False
 
-    def answered(self, now_s: float) -> None:
+    def record_first_output(self, now_s: float) -> None:
         """Record the arrival of the first output."""
         endpoint = self.endpoint
         self._finish_prefill()
-        ratio = (now_s - self.at_s) / max(self.predicted_s, 1e-3)
+        ratio = (now_s - self.sent_at_s) / max(self.predicted_s, 1e-3)
         low, high = SLOWNESS_RANGE
         ratio = min(max(ratio, low), high)
-        endpoint.slowness += LATENCY_GAIN * (ratio - endpoint.slowness)
+        endpoint.slowness += LATENCY_EWMA_WEIGHT * (ratio - endpoint.slowness)
 
-    def end(self, now_s: float, plain: bool) -> None:
+    def finish(self, now_s: float, plain: bool) -> None:
         """Record the end of the request, successful or not.
 
         :param plain: whether the request has no prompt; only then its latency counts.
         """
-        if self.ended:
+        if self.finished:
             return
-        self.ended = True
+        self.finished = True
         endpoint = self.endpoint
         endpoint.running -= 1
         self._finish_prefill()
         if plain:
-            took_s = min(now_s - self.at_s, 1.0)
-            endpoint.latency_s += LATENCY_GAIN * (took_s - endpoint.latency_s)
+            took_s = min(now_s - self.sent_at_s, 1.0)
+            endpoint.latency_s += LATENCY_EWMA_WEIGHT * (took_s - endpoint.latency_s)
 
     def _finish_prefill(self) -> None:
-        if not self.read:
-            self.read = True
-            self.endpoint.unread_s -= self.work_s
+        if not self.prefilled:
+            self.prefilled = True
+            self.endpoint.pending_prefill_s -= self.work_s
--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -18,7 +18,13 @@
 
 from cachetools import LRUCache
 
-from celerytrack.endpoint import Choice, Endpoint, Need, Registration, Sent
+from celerytrack.endpoint import (
+    Choice,
+    Dispatch,
+    Endpoint,
+    Registration,
+    RequestProfile,
+)
 from celerytrack.ids import EndpointId, ServiceName, Zone
 from celerytrack.prefill import PREFILL_TOKENS_PER_S, prefill_s
 from celerytrack.restored_records import RestoredRecords
@@ -118,13 +124,15 @@
             return Registered.STARTED_AGAIN
         changed = known.registration.draining is not registration.draining
         known.registration = registration
-        known.gone_at_s = None
+        known.deregistered_at_s = None
         return Registered.CHANGED if changed else Registered.SAME
 
     def restored(self) -> None:
         """Handle a log restored from an older copy: endpoints that are gone by now
         register again only with a newer record."""
-        gone = (i for i, e in self._endpoints.items() if e.gone_at_s is not None)
+        gone = (
+            i for i, e in self._endpoints.items() if e.deregistered_at_s is not None
+        )
         self.restores.came_back({*gone, *self._tombstones})
 
     def _add(self, registration: Registration, now_s: float) -> None:
@@ -135,8 +143,8 @@
     def dropped(self, endpoint_id: EndpointId, now_s: float) -> None:
         """Record that the registration of an endpoint disappeared."""
         known = self._endpoints.get(endpoint_id)
-        if known is not None and known.gone_at_s is None:
-            known.gone_at_s = now_s
+        if known is not None and known.deregistered_at_s is None:
+            known.deregistered_at_s = now_s
 
     def disowned(self, endpoint_id: EndpointId, now_s: float) -> None:
         """Record that the newest record of an endpoint is unusable.
@@ -149,12 +157,14 @@
         """Eject an endpoint whose process crashed, as observed by some entry."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
-            avoided_until_s = max(known.avoided_until_s, now_s + ENDED_S)
-            known.avoided_until_s = avoided_until_s
+            ejected_until_s = max(known.ejected_until_s, now_s + ENDED_S)
+            known.ejected_until_s = ejected_until_s
 
     def takes_work(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint that was chosen earlier still accepts requests."""
-        is_leaving = endpoint.registration.draining or endpoint.gone_at_s is not None
+        is_leaving = (
+            endpoint.registration.draining or endpoint.deregistered_at_s is not None
+        )
         return not is_leaving and not self.superseded(endpoint)
 
     def superseded(self, endpoint: Endpoint) -> bool:
@@ -168,15 +178,15 @@
 
     def ids(self) -> list[EndpointId]:
         """The ids of the registered endpoints."""
-        return [i for i, e in self._endpoints.items() if e.gone_at_s is None]
+        return [i for i, e in self._endpoints.items() if e.deregistered_at_s is None]
 
     def forget_gone(self, now_s: float) -> list[Endpoint]:
         """Remove and return endpoints that lost their registration and are idle."""
         gone = [
             e
             for e in self._endpoints.values()
-            if e.gone_at_s is not None
-            and now_s - e.gone_at_s > GONE_GRACE_S
+            if e.deregistered_at_s is not None
+            and now_s - e.deregistered_at_s > GONE_GRACE_S
             and e.running == 0
         ]
         for endpoint in gone:
@@ -186,7 +196,7 @@
 
     def choose(
         self,
-        need: Need,
+        profile: RequestProfile,
         load_times: float,
         max_connections: int,
         avoid: Sequence[EndpointId],
@@ -201,42 +211,42 @@
         """
         usable = [
             e
-            for e in self._candidates(need.service, now_s)
+            for e in self._candidates(profile.service, now_s)
             if self._is_allowed(e, avoid)
         ]
         available = [e for e in usable if _has_capacity(e, load_times, max_connections)]
         if not available:
             return None
-        homes = self._homes(need, usable)
-        healthy = [e for e in available if now_s >= e.avoided_until_s] or available
+        homes = self._homes(profile, usable)
+        healthy = [e for e in available if now_s >= e.ejected_until_s] or available
 
         costs = [
-            (self._predict(e, need, homes, load_times, now_s), self._rng.random(), i)
+            (self._predict(e, profile, homes, load_times, now_s), self._rng.random(), i)
             for i, e in enumerate(healthy)
         ]
         predicted_s, _, index = min(costs)
         best = healthy[index]
-        unread = best.unread(need, _is_home(best, homes), now_s)
-        return Choice(best, predicted_s, prefill_s(unread, need.prompt_tokens))
+        uncached = best.uncached_tokens(profile, _is_home(best, homes), now_s)
+        return Choice(best, predicted_s, prefill_s(uncached, profile.prompt_tokens))
 
-    def send(self, choice: Choice, need: Need, now_s: float) -> Sent:
+    def send(self, choice: Choice, profile: RequestProfile, now_s: float) -> Dispatch:
         """Count a request that is now sent to the chosen endpoint."""
         endpoint = choice.endpoint
         endpoint.running += 1
-        endpoint.unread_s += choice.work_s
-        endpoint.touch(need, now_s)
-        return Sent(endpoint, now_s, choice.predicted_s, choice.work_s)
+        endpoint.pending_prefill_s += choice.work_s
+        endpoint.cache_prompt(profile, now_s)
+        return Dispatch(endpoint, now_s, choice.predicted_s, choice.work_s)
 
     def note(self, endpoint_id: EndpointId, work_s: float, now_s: float) -> None:
         """Count a prompt of another entry that takes ``work_s`` to prefill."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
-            known.note(work_s, now_s)
+            known.add_peer_prefill(work_s, now_s)
 
     def succeeded(self, endpoint: Endpoint) -> None:
         """Record a successful answer."""
-        endpoint.failures = 0
-        endpoint.failing -= FAILURE_GAIN * endpoint.failing
+        endpoint.consecutive_failures = 0
+        endpoint.failure_rate -= FAILURE_GAIN * endpoint.failure_rate
 
     def failed(self, endpoint: Endpoint, hard: bool, now_s: float) -> None:
         """Record a failed answer.
@@ -244,15 +254,17 @@
         :param hard: whether the connection failed, broke or timed out, so that the next
             request would fail too; otherwise the endpoint answered with an error.
         """
-        endpoint.failing += FAILURE_GAIN * (1 - endpoint.failing)
+        endpoint.failure_rate += FAILURE_GAIN * (1 - endpoint.failure_rate)
         if hard:
-            endpoint.failures += 1
-            pause_s = min(EJECT_S * 2 ** (endpoint.failures - 1), EJECT_MAX_S)
-            endpoint.avoided_until_s = now_s + pause_s
-        elif endpoint.failing > max(
+            endpoint.consecutive_failures += 1
+            pause_s = min(
+                EJECT_S * 2 ** (endpoint.consecutive_failures - 1), EJECT_MAX_S
+            )
+            endpoint.ejected_until_s = now_s + pause_s
+        elif endpoint.failure_rate > max(
             GREY_SHARE, GREY_TIMES * self._peer_failure_rate(endpoint)
         ):
-            endpoint.avoided_until_s = now_s + GREY_S
+            endpoint.ejected_until_s = now_s + GREY_S
 
     # -- internals ---------------------------------------------------------
 
@@ -262,24 +274,27 @@
             for e in self._endpoints.values()
             if e.registration.service == service and not e.registration.draining
         ]
-        registered = [e for e in known if e.gone_at_s is None]
+        registered = [e for e in known if e.deregistered_at_s is None]
         if registered:
             return registered
         return [
             e
             for e in known
-            if e.gone_at_s is not None and now_s - e.gone_at_s < GONE_GRACE_S
+            if e.deregistered_at_s is not None
+            and now_s - e.deregistered_at_s < GONE_GRACE_S
         ]
 
     @staticmethod
     def _is_allowed(endpoint: Endpoint, avoid: Sequence[EndpointId]) -> bool:
         return endpoint.endpoint_id not in avoid
 
-    def _homes(self, need: Need, usable: Iterable[Endpoint]) -> list[Endpoint]:
+    def _homes(
+        self, profile: RequestProfile, usable: Iterable[Endpoint]
+    ) -> list[Endpoint]:
         """The home of the session and its second home, the same at all entries."""
-        if not need.parts:
+        if not profile.parts:
             return []
-        session = need.session
+        session = profile.session_key
         return heapq.nlargest(
             2, usable, key=lambda e: rendezvous_weight(session, e.endpoint_id)
         )
@@ -287,7 +302,7 @@
     def _predict(
         self,
         endpoint: Endpoint,
-        need: Need,
+        profile: RequestProfile,
         homes: Sequence[Endpoint],
         load_times: float,
         now_s: float,
@@ -297,26 +312,31 @@
         cross_zone_s = 0.0 if endpoint.registration.zone == self._zone else OTHER_ZONE_S
         excess_load = max(0.0, running / slots - 1.0)
         cold_factor = COLD_TIMES if now_s < endpoint.cold_until_s else 1.0
-        if not need.parts:
+        if not profile.parts:
             busy_factor = 1.0 + running / slots + excess_load
             seconds = (
-                endpoint.latency_s * busy_factor * (1 + endpoint.failing) + cross_zone_s
+                endpoint.latency_s * busy_factor * (1 + endpoint.failure_rate)
+                + cross_zone_s
             )
             return cold_factor * seconds
         rank = homes.index(endpoint) if endpoint in homes else len(homes)
-        unread = endpoint.unread(need, _is_home(endpoint, homes), now_s)
+        uncached = endpoint.uncached_tokens(profile, _is_home(endpoint, homes), now_s)
         factor = SECOND_HOME_TIMES if rank == 1 else LEAVE_HOME_TIMES
-        shared = max(0, unread - need.own_tokens) * (factor - 1)
-        seconds = prefill_s(unread, need.prompt_tokens) + running * RUNNING_S + STEP_S
+        shared = max(0, uncached - profile.unshared_tokens) * (factor - 1)
+        seconds = (
+            prefill_s(uncached, profile.prompt_tokens) + running * RUNNING_S + STEP_S
+        )
         seconds += shared / PREFILL_TOKENS_PER_S
-        seconds += endpoint.unread_s + endpoint.noted_unread_s(now_s)
+        seconds += endpoint.pending_prefill_s + endpoint.peer_prefill_left_s(now_s)
         seconds += excess_load * 0.5
-        seconds = endpoint.slowness * seconds * (1 + endpoint.failing) + cross_zone_s
+        seconds = (
+            endpoint.slowness * seconds * (1 + endpoint.failure_rate) + cross_zone_s
+        )
         return cold_factor * seconds
 
     def _peer_failure_rate(self, endpoint: Endpoint) -> float:
         peers = [
-            e.failing
+            e.failure_rate
             for e in self._endpoints.values()
             if e.registration.service == endpoint.registration.service
             and e is not endpoint
--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from returns.result import Failure, Result, Success
 
-from celerytrack.endpoint import Endpoint, Sent
+from celerytrack.endpoint import Dispatch, Endpoint
 from celerytrack.gateway.connections import EndpointLostError, StartConnections
 from celerytrack.gateway.exchange import AttemptFailure, Exchange, PlainAnswer
 from celerytrack.gateway.state import Gateway
@@ -35,7 +35,7 @@
 
 
 async def attempt(
-    gateway: Gateway, exchange: Exchange, endpoint: Endpoint, sent: Sent
+    gateway: Gateway, exchange: Exchange, endpoint: Endpoint, sent: Dispatch
 ) -> AttemptResult:
     """Send ``exchange`` to ``endpoint`` and wait for its answer.
 
@@ -63,7 +63,7 @@
 async def _send(
     gateway: Gateway,
     exchange: Exchange,
-    sent: Sent,
+    sent: Dispatch,
     connections: StartConnections,
     url: yarl.URL,
     envelope: Envelope,
@@ -106,7 +106,10 @@
 
 
 async def _take(
-    gateway: Gateway, exchange: Exchange, sent: Sent, response: aiohttp.ClientResponse
+    gateway: Gateway,
+    exchange: Exchange,
+    sent: Dispatch,
+    response: aiohttp.ClientResponse,
 ) -> AttemptResult:
     facts = decode_answer(response.status, response.headers)
     if facts.request_id not in (None, exchange.facts.request_id):
@@ -133,7 +136,9 @@
     return facts.sealed and facts.request_id is not None
 
 
-async def _read_whole(sent: Sent, response: aiohttp.ClientResponse) -> AttemptResult:
+async def _read_whole(
+    sent: Dispatch, response: aiohttp.ClientResponse
+) -> AttemptResult:
     protocol = _protocol(response)
     try:
         body = await response.read()
@@ -141,13 +146,16 @@
         return _failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
     if _was_reset(response, protocol):
         return _spoilt("an answer without length was reset")
-    sent.answered(time.monotonic())
+    sent.record_first_output(time.monotonic())
     headers = returned_headers(response.headers)
     return Success(PlainAnswer(response.status, headers, body))
 
 
 async def _relay(
-    gateway: Gateway, exchange: Exchange, sent: Sent, response: aiohttp.ClientResponse
+    gateway: Gateway,
+    exchange: Exchange,
+    sent: Dispatch,
+    response: aiohttp.ClientResponse,
 ) -> AttemptResult:
     protocol = _protocol(response)
     events = exchange.events
@@ -164,7 +172,7 @@
             continue
         if exchange.response is None:
             exchange.first_s = time.monotonic()
-            sent.answered(exchange.first_s)
+            sent.record_first_output(exchange.first_s)
             await _open(gateway, exchange, response)
         await _write(exchange, whole.data)
     if events.partial or _was_reset(response, protocol):
--- a/src/celerytrack/gateway/ended_endpoints.py
+++ b/src/celerytrack/gateway/ended_endpoints.py
@@ -51,7 +51,7 @@
 
         One that leaves ends by itself, and not by what it runs.
         """
-        if endpoint.registration.draining or endpoint.gone_at_s is not None:
+        if endpoint.registration.draining or endpoint.deregistered_at_s is not None:
             return
         known = self._broken.get(endpoint.endpoint_id)
         if known is not None:
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from celerytrack.endpoint import Choice, Need
+from celerytrack.endpoint import Choice, RequestProfile
 from celerytrack.fingerprint import (
     Fingerprint,
     FingerprintPrefix,
@@ -117,9 +117,9 @@
         return self._fingerprint
 
     @property
-    def need(self) -> Need:
+    def need(self) -> RequestProfile:
         """What it needs of an endpoint."""
-        return Need(self.service, self.facts.parts)
+        return RequestProfile(self.service, self.facts.parts)
 
     def end_by(self, at_s: float) -> None:
         """Have it end at ``at_s`` at the latest."""
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -254,7 +254,7 @@
     try:
         result = await attempt(gateway, exchange, endpoint, sent)
     finally:
-        sent.end(time.monotonic(), not exchange.facts.parts)
+        sent.finish(time.monotonic(), not exchange.facts.parts)
     match result:
         case Success(answer):
             if answer is not None and answer.status >= 500:
--- a/src/celerytrack/restored_records.py
+++ b/src/celerytrack/restored_records.py
@@ -30,11 +30,11 @@
 
         :param last: the last record read of the same endpoint.
         """
-        if registration.older_than(last):
+        if registration.is_older_than(last):
             return True
-        if registration.endpoint_id not in self._left or not last.numbered:
+        if registration.endpoint_id not in self._left or not last.is_ordered:
             return False
-        return not last.older_than(registration)
+        return not last.is_older_than(registration)
 
     def written(self, endpoint_id: EndpointId) -> None:
         """The endpoint has written its registration."""
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -363,6 +363,6 @@
 
     def _usable(self, instance: Instance, name: str) -> bool:
         endpoint = instance.gateway.endpoints._endpoints.get(EndpointId(name))
-        if endpoint is None or endpoint.gone_at_s is not None:
+        if endpoint is None or endpoint.deregistered_at_s is not None:
             return False
         return not endpoint.registration.draining
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -6,7 +6,7 @@
 import attrs
 from nose2.tools import params
 
-from celerytrack.endpoint import Choice, Need, Registration
+from celerytrack.endpoint import Choice, Registration, RequestProfile
 from celerytrack.endpoints import (
     EJECT_S,
     GONE_GRACE_S,
@@ -41,7 +41,7 @@
 
 
 def _choose(book, need=None, now_s=1.0, avoid=()):
-    got = book.choose(need or Need(S), 1, 100, list(avoid), now_s)
+    got = book.choose(need or RequestProfile(S), 1, 100, list(avoid), now_s)
     return got.endpoint.endpoint_id if got else None
 
 
@@ -51,7 +51,7 @@
 
 
 DRAINS = attrs.evolve(_reg("a", draining=True), born_ms=1)
-PROMPT = Need(S, (("m/p", 500), ("m/p/q", 5_000), ("m/p/q/r", 600)))
+PROMPT = RequestProfile(S, (("m/p", 500), ("m/p/q", 5_000), ("m/p/q/r", 600)))
 
 
 class ChoiceTest(unittest.TestCase):
@@ -87,7 +87,7 @@
         book = _book(*(_reg(f"r{i}") for i in range(4)))
         home = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
         for i in range(8):
-            need = Need(S, ((f"m/x{i}", 9_000), (f"m/x{i}/y", 9_000)))
+            need = RequestProfile(S, ((f"m/x{i}", 9_000), (f"m/x{i}/y", 9_000)))
             _send(book, home, need, 1.0)
         self.assertNotEqual(_choose(book, PROMPT), home.endpoint_id)
 
@@ -115,11 +115,11 @@
         each entry.
         """
         book = _book(*(_reg(f"r{i}", slots=64) for i in range(4)))
-        short = Need(S, (("m/a", 119), ("m/a/b", 79), ("m/a/b/c", 400)))
+        short = RequestProfile(S, (("m/a", 119), ("m/a/b", 79), ("m/a/b/c", 400)))
         home = book.choose(short, 6, 360, [], 1.0).endpoint
         for i in range(3):
-            sent = _send(book, home, Need(S, ((f"m/o{i}", 100),)), 1.0)
-            sent.answered(1.01)
+            sent = _send(book, home, RequestProfile(S, ((f"m/o{i}", 100),)), 1.0)
+            sent.record_first_output(1.01)
         chosen = book.choose(short, 6, 360, [], 1.1).endpoint
         self.assertEqual(chosen.endpoint_id, home.endpoint_id)
 
@@ -127,9 +127,9 @@
         book = _book(_reg("a"), _reg("b"))
         first = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
         sent = _send(book, first, PROMPT, 1.0)
-        sent.answered(1.1)
-        sent.end(1.2, False)
-        self.assertEqual(first.unread(PROMPT, False, 2.0), 0)
+        sent.record_first_output(1.1)
+        sent.finish(1.2, False)
+        self.assertEqual(first.uncached_tokens(PROMPT, False, 2.0), 0)
 
     def test_endpoints_tried_before_are_not_chosen(self):
         book = _book(_reg("a"), _reg("b"))
@@ -139,18 +139,18 @@
 class EjectionTest(unittest.TestCase):
     def test_an_unreachable_endpoint_is_ejected_and_comes_back(self):
         book = _book(_reg("a"), _reg("b", THERE))
-        endpoint = book.choose(Need(S), 1, 100, [], 1.0).endpoint
+        endpoint = book.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
         book.failed(endpoint, True, 1.0)
         self.assertEqual(_choose(book, now_s=1.0 + EJECT_S / 2), "b")
-        other = book.choose(Need(S), 1, 100, ["a"], 1.0).endpoint
+        other = book.choose(RequestProfile(S), 1, 100, ["a"], 1.0).endpoint
         for _ in range(4):
-            _send(book, other, Need(S), 1.0)
+            _send(book, other, RequestProfile(S), 1.0)
         self.assertEqual(_choose(book, now_s=1.0 + EJECT_S / 2), "b")
         self.assertEqual(_choose(book, now_s=1.0 + 2 * EJECT_S), "a")
 
     def test_an_endpoint_with_a_grey_failure_is_ejected(self):
         book = _book(_reg("a"), _reg("b", THERE))
-        grey = book.choose(Need(S), 1, 100, [], 1.0).endpoint
+        grey = book.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
         for _ in range(10):
             book.failed(grey, False, 1.0)
         self.assertEqual(_choose(book, now_s=1.1), "b")
@@ -162,9 +162,10 @@
         """
         book = _book(_reg("a"), _reg("b"))
         both = [
-            book.choose(Need(S), 1, 100, avoid, 1.0).endpoint for avoid in ([], ["a"])
+            book.choose(RequestProfile(S), 1, 100, avoid, 1.0).endpoint
+            for avoid in ([], ["a"])
         ]
-        both.append(book.choose(Need(S), 1, 100, ["b"], 1.0).endpoint)
+        both.append(book.choose(RequestProfile(S), 1, 100, ["b"], 1.0).endpoint)
         for _ in range(4):
             for endpoint in set(map(id, both)):
                 target = next(e for e in both if id(e) == endpoint)
@@ -194,10 +195,12 @@
         self.assertIs(book.register(_start(2_000), 1.0), Registered.STARTED_AGAIN)
         now = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
         self.assertIsNot(now, before)
-        self.assertEqual((now.running, now.failures, now.slowness), (0, 0, 1.0))
-        self.assertEqual(now.unread(PROMPT, False, 1.0), PROMPT.prompt_tokens)
+        self.assertEqual(
+            (now.running, now.consecutive_failures, now.slowness), (0, 0, 1.0)
+        )
+        self.assertEqual(now.uncached_tokens(PROMPT, False, 1.0), PROMPT.prompt_tokens)
         # The end of a request at the old process doesn't count for the new one.
-        sent.end(1.5, plain=False)
+        sent.finish(1.5, plain=False)
         self.assertEqual(now.running, 0)
 
     @params(
@@ -254,7 +257,7 @@
         """A probe was sent to an endpoint that had left while the probe was announced
         to the other entries."""
         book = _book(attrs.evolve(_reg("a"), born_ms=1))
-        chosen = book.choose(Need(S), 1, 100, [], 0.0)
+        chosen = book.choose(RequestProfile(S), 1, 100, [], 0.0)
         act(book)
         self.assertEqual(book.takes_work(chosen.endpoint), available)
 
--- a/tests/test_peer_notes.py
+++ b/tests/test_peer_notes.py
@@ -7,7 +7,7 @@
 
 from nose2.tools import params
 
-from celerytrack.endpoint import Need, Registration
+from celerytrack.endpoint import Registration, RequestProfile
 from celerytrack.endpoints import EndpointBook
 from celerytrack.gateway.peer_notes import LeaveNote, PeerNotes, PromptNote
 from celerytrack.ids import EndpointId, EntryId, ServiceName, Zone
@@ -105,7 +105,7 @@
             )
             book.register(registration, 0.0)
         book.note(EndpointId("i-home"), 0.4, 0.0)
-        need = Need(SERVICE, (("m/a", 500),))
+        need = RequestProfile(SERVICE, (("m/a", 500),))
         chosen = book.choose(need, 2, 100, (), since_s)
         self.assertIsNotNone(chosen)
         self.assertEqual(chosen.endpoint.endpoint_id, expected)
