--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -2,7 +2,7 @@
 
 An entry sees only its own share of the load. It assumes that the other entries choose
 as it does, and multiplies its own requests at an endpoint by the ratio of the fleet's
-load to its own (``load_times``).
+load to its own (``fleet_load_ratio``).
 
 Prompts share parts. An engine prefills a shared part once and then has it in its cache,
 so all requests of a session should go to one engine, through whichever entry they come.
@@ -30,60 +30,60 @@
 from celerytrack.restored_records import RestoredRecords
 from celerytrack.routing import rendezvous_weight
 
-RUNNING_S = 0.00015
+RUNNING_REQUEST_COST_S = 0.00015
 """Time that each running request adds to the time to first token: its part of the few
 decoding steps until then."""
-STEP_S = 0.01
+FIRST_TOKEN_OVERHEAD_S = 0.01
 """Time to first token beyond the prefill: two engine steps and the network round
 trip."""
-LEAVE_HOME_TIMES = 7.0
+LEAVE_HOME_FACTOR = 7.0
 """Weight of an uncached token of a shared part at an engine that is not the home. Its
 prefill evicts parts of other sessions there, and the session's next request goes to
 the home again."""
-SECOND_HOME_TIMES = 3.0
+SECOND_HOME_FACTOR = 3.0
 """The same weight at the second home. All entries send the overflow of the home there,
 so that the part is probably cached at the second home, and at no other engine."""
-COLD_TIMES = 1.6
+COLD_FACTOR = 1.6
 """Factor on the predicted time of an endpoint that is warming up. It is in the middle
 of what cold caches of compiled code and data cost; the endpoint's answers correct
 it."""
-OTHER_ZONE_S = 0.004
+CROSS_ZONE_COST_S = 0.004
 """Cost of an endpoint in another failure domain: the network round trip, and the price
 of traffic between domains."""
-EJECT_S = 0.4
+MIN_EJECTION_S = 0.4
 """Ejection time after the first failed connection or missing answer; it doubles with
 each further failure."""
-EJECT_MAX_S = 5.0
+MAX_EJECTION_S = 5.0
 """Longest ejection. A replaced endpoint has a new id, so a longer ejection would only
 delay the return of an endpoint that has recovered."""
-FAILURE_GAIN = 0.15
+FAILURE_EWMA_WEIGHT = 0.15
 """Weight of the newest answer in the moving average of an endpoint's failure rate."""
-GREY_SHARE = 0.35
+GREY_FAILURE_RATE = 0.35
 """Failure rate that ejects an endpoint which accepts connections (grey failure), if it
-is also more than :data:`GREY_TIMES` the average rate of the service's other
+is also more than :data:`GREY_FAILURE_FACTOR` the average rate of the service's other
 endpoints."""
-GREY_TIMES = 2.0
-GREY_S = 2.0
+GREY_FAILURE_FACTOR = 2.0
+GREY_EJECTION_S = 2.0
 """Ejection time after a grey failure, until a request tries the endpoint again."""
-GONE_GRACE_S = 1.5
+DEREGISTERED_GRACE_S = 1.5
 """How long an endpoint without registration is still used if its service has no other.
 Registrations expire while the store is unreachable and are written again within two
 seconds; an endpoint that has left keeps serving for two seconds."""
-FORGOTTEN_MOST = 1_024
+MAX_TOMBSTONES = 1_024
 """Removed endpoints whose last record is kept, so that an older record that arrives
 late does not register them again."""
-ENDED_S = 4.0
+CRASH_EJECTION_S = 4.0
 """Ejection time after a crash. The registration stays until some heartbeats are missed,
 and each request sent there loses the time of a failed connection."""
-QUEUE_TIMES = 4.0
+QUEUE_FACTOR = 4.0
 """Most requests of all entries at an endpoint, as a multiple of its slots."""
 
 
-class Registered(enum.Enum):
+class RegistrationChange(enum.Enum):
     """Effect of a registration record."""
 
     NEW = "new"
-    STARTED_AGAIN = "started_again"
+    RESTARTED = "started_again"
     """Another process has the id now, with an empty cache."""
     CHANGED = "changed"
     """The endpoint began or ended draining."""
@@ -92,7 +92,7 @@
     """A later record was read before; this one is ignored."""
 
 
-class EndpointBook:
+class EndpointPool:
     """The known endpoints, and the choice among them.
 
     :param zone: the failure domain of this entry.
@@ -102,34 +102,34 @@
         self._zone = zone
         self._rng = rng
         self._endpoints: dict[EndpointId, Endpoint] = {}
-        self._tombstones: LRUCache[EndpointId, Registration] = LRUCache(FORGOTTEN_MOST)
+        self._tombstones: LRUCache[EndpointId, Registration] = LRUCache(MAX_TOMBSTONES)
         self.restores = RestoredRecords()
 
-    def register(self, registration: Registration, now_s: float) -> Registered:
+    def register(self, registration: Registration, now_s: float) -> RegistrationChange:
         """Apply a registration record that was read at ``now_s``."""
         known = self._endpoints.get(registration.endpoint_id)
         last = known.registration if known else None
         last = last or self._tombstones.get(registration.endpoint_id)
         if last is not None and self.restores.outdated(registration, last):
-            return Registered.STALE
+            return RegistrationChange.STALE
         self.restores.written(registration.endpoint_id)
         if known is None:
             self._add(registration, now_s)
-            return Registered.NEW
+            return RegistrationChange.NEW
         if 0 < known.registration.born_ms < registration.born_ms:
             # The statistics and cached parts belong to a process that is gone. Parts
             # counted as cached would need an unpredicted prefill. Earlier requests
             # refer to the old object and finish there.
             self._add(registration, now_s)
-            return Registered.STARTED_AGAIN
+            return RegistrationChange.RESTARTED
         changed = known.registration.draining is not registration.draining
         known.registration = registration
         known.deregistered_at_s = None
-        return Registered.CHANGED if changed else Registered.SAME
+        return RegistrationChange.CHANGED if changed else RegistrationChange.SAME
 
-    def restored(self) -> None:
-        """Handle a log restored from an older copy: endpoints that are gone by now
-        register again only with a newer record."""
+    def on_log_restored(self) -> None:
+        """Handle the restore of the log from an older backup: endpoints that are gone
+        by now register again only with a newer record."""
         gone = (
             i for i, e in self._endpoints.items() if e.deregistered_at_s is not None
         )
@@ -140,53 +140,53 @@
         endpoint.cold_until_s = now_s + registration.cold_s
         self._endpoints[registration.endpoint_id] = endpoint
 
-    def dropped(self, endpoint_id: EndpointId, now_s: float) -> None:
+    def mark_deregistered(self, endpoint_id: EndpointId, now_s: float) -> None:
         """Record that the registration of an endpoint disappeared."""
         known = self._endpoints.get(endpoint_id)
         if known is not None and known.deregistered_at_s is None:
             known.deregistered_at_s = now_s
 
-    def disowned(self, endpoint_id: EndpointId, now_s: float) -> None:
-        """Record that the newest record of an endpoint is unusable.
+    def deregister_now(self, endpoint_id: EndpointId, now_s: float) -> None:
+        """Record that an endpoint is gone, or that its newest record is unusable.
 
         It gets no more requests, even if its service has no other endpoint.
         """
-        self.dropped(endpoint_id, now_s - GONE_GRACE_S)
+        self.mark_deregistered(endpoint_id, now_s - DEREGISTERED_GRACE_S)
 
-    def ended(self, endpoint_id: EndpointId, now_s: float) -> None:
+    def mark_crashed(self, endpoint_id: EndpointId, now_s: float) -> None:
         """Eject an endpoint whose process crashed, as observed by some entry."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
-            ejected_until_s = max(known.ejected_until_s, now_s + ENDED_S)
+            ejected_until_s = max(known.ejected_until_s, now_s + CRASH_EJECTION_S)
             known.ejected_until_s = ejected_until_s
 
-    def takes_work(self, endpoint: Endpoint) -> bool:
+    def is_available(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint that was chosen earlier still accepts requests."""
         is_leaving = (
             endpoint.registration.draining or endpoint.deregistered_at_s is not None
         )
-        return not is_leaving and not self.superseded(endpoint)
+        return not is_leaving and not self.is_superseded(endpoint)
 
-    def superseded(self, endpoint: Endpoint) -> bool:
+    def is_superseded(self, endpoint: Endpoint) -> bool:
         """Whether a newer process has the id of ``endpoint``."""
         known = self._endpoints.get(endpoint.endpoint_id)
         return known is not None and known is not endpoint
 
-    def builds(self, service: ServiceName, now_s: float) -> set[str]:
+    def available_builds(self, service: ServiceName, now_s: float) -> set[str]:
         """The builds of the available endpoints of ``service``."""
         return {e.registration.build for e in self._candidates(service, now_s)}
 
-    def ids(self) -> list[EndpointId]:
+    def registered_ids(self) -> list[EndpointId]:
         """The ids of the registered endpoints."""
         return [i for i, e in self._endpoints.items() if e.deregistered_at_s is None]
 
-    def forget_gone(self, now_s: float) -> list[Endpoint]:
+    def evict_deregistered(self, now_s: float) -> list[Endpoint]:
         """Remove and return endpoints that lost their registration and are idle."""
         gone = [
             e
             for e in self._endpoints.values()
             if e.deregistered_at_s is not None
-            and now_s - e.deregistered_at_s > GONE_GRACE_S
+            and now_s - e.deregistered_at_s > DEREGISTERED_GRACE_S
             and e.running == 0
         ]
         for endpoint in gone:
@@ -197,31 +197,37 @@
     def choose(
         self,
         profile: RequestProfile,
-        load_times: float,
+        fleet_load_ratio: float,
         max_connections: int,
         avoid: Sequence[EndpointId],
         now_s: float,
     ) -> Choice | None:
         """The endpoint with the earliest predicted answer.
 
-        :param load_times: ratio of the fleet's load to the load of this entry.
+        :param fleet_load_ratio: ratio of the fleet's load to the load of this entry.
         :param max_connections: connections that one endpoint accepts from all entries.
         :param avoid: endpoints that must not be chosen.
         :returns: ``None`` if no endpoint has capacity.
         """
-        usable = [
+        candidates = [
             e
             for e in self._candidates(profile.service, now_s)
             if self._is_allowed(e, avoid)
         ]
-        available = [e for e in usable if _has_capacity(e, load_times, max_connections)]
+        available = [
+            e for e in candidates if _has_capacity(e, fleet_load_ratio, max_connections)
+        ]
         if not available:
             return None
-        homes = self._homes(profile, usable)
+        homes = self._homes(profile, candidates)
         healthy = [e for e in available if now_s >= e.ejected_until_s] or available
 
         costs = [
-            (self._predict(e, profile, homes, load_times, now_s), self._rng.random(), i)
+            (
+                self._predict(e, profile, homes, fleet_load_ratio, now_s),
+                self._rng.random(),
+                i,
+            )
             for i, e in enumerate(healthy)
         ]
         predicted_s, _, index = min(costs)
@@ -229,7 +235,9 @@
         uncached = best.uncached_tokens(profile, _is_home(best, homes), now_s)
         return Choice(best, predicted_s, prefill_s(uncached, profile.prompt_tokens))
 
-    def send(self, choice: Choice, profile: RequestProfile, now_s: float) -> Dispatch:
+    def record_dispatch(
+        self, choice: Choice, profile: RequestProfile, now_s: float
+    ) -> Dispatch:
         """Count a request that is now sent to the chosen endpoint."""
         endpoint = choice.endpoint
         endpoint.running += 1
@@ -237,34 +245,37 @@
         endpoint.cache_prompt(profile, now_s)
         return Dispatch(endpoint, now_s, choice.predicted_s, choice.work_s)
 
-    def note(self, endpoint_id: EndpointId, work_s: float, now_s: float) -> None:
+    def add_peer_prefill(
+        self, endpoint_id: EndpointId, work_s: float, now_s: float
+    ) -> None:
         """Count a prompt of another entry that takes ``work_s`` to prefill."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
             known.add_peer_prefill(work_s, now_s)
 
-    def succeeded(self, endpoint: Endpoint) -> None:
+    def record_success(self, endpoint: Endpoint) -> None:
         """Record a successful answer."""
         endpoint.consecutive_failures = 0
-        endpoint.failure_rate -= FAILURE_GAIN * endpoint.failure_rate
+        endpoint.failure_rate -= FAILURE_EWMA_WEIGHT * endpoint.failure_rate
 
-    def failed(self, endpoint: Endpoint, hard: bool, now_s: float) -> None:
+    def record_failure(self, endpoint: Endpoint, hard: bool, now_s: float) -> None:
         """Record a failed answer.
 
         :param hard: whether the connection failed, broke or timed out, so that the next
             request would fail too; otherwise the endpoint answered with an error.
         """
-        endpoint.failure_rate += FAILURE_GAIN * (1 - endpoint.failure_rate)
+        endpoint.failure_rate += FAILURE_EWMA_WEIGHT * (1 - endpoint.failure_rate)
         if hard:
             endpoint.consecutive_failures += 1
             pause_s = min(
-                EJECT_S * 2 ** (endpoint.consecutive_failures - 1), EJECT_MAX_S
+                MIN_EJECTION_S * 2 ** (endpoint.consecutive_failures - 1),
+                MAX_EJECTION_S,
             )
             endpoint.ejected_until_s = now_s + pause_s
         elif endpoint.failure_rate > max(
-            GREY_SHARE, GREY_TIMES * self._peer_failure_rate(endpoint)
+            GREY_FAILURE_RATE, GREY_FAILURE_FACTOR * self._peer_failure_rate(endpoint)
         ):
-            endpoint.ejected_until_s = now_s + GREY_S
+            endpoint.ejected_until_s = now_s + GREY_EJECTION_S
 
     # -- internals ---------------------------------------------------------
 
@@ -281,7 +292,7 @@
             e
             for e in known
             if e.deregistered_at_s is not None
-            and now_s - e.deregistered_at_s < GONE_GRACE_S
+            and now_s - e.deregistered_at_s < DEREGISTERED_GRACE_S
         ]
 
     @staticmethod
@@ -289,14 +300,14 @@
         return endpoint.endpoint_id not in avoid
 
     def _homes(
-        self, profile: RequestProfile, usable: Iterable[Endpoint]
+        self, profile: RequestProfile, candidates: Iterable[Endpoint]
     ) -> list[Endpoint]:
         """The home of the session and its second home, the same at all entries."""
         if not profile.parts:
             return []
         session = profile.session_key
         return heapq.nlargest(
-            2, usable, key=lambda e: rendezvous_weight(session, e.endpoint_id)
+            2, candidates, key=lambda e: rendezvous_weight(session, e.endpoint_id)
         )
 
     def _predict(
@@ -304,14 +315,16 @@
         endpoint: Endpoint,
         profile: RequestProfile,
         homes: Sequence[Endpoint],
-        load_times: float,
+        fleet_load_ratio: float,
         now_s: float,
     ) -> float:
         slots = max(1, endpoint.registration.slots)
-        running = endpoint.running * load_times
-        cross_zone_s = 0.0 if endpoint.registration.zone == self._zone else OTHER_ZONE_S
+        running = endpoint.running * fleet_load_ratio
+        cross_zone_s = (
+            0.0 if endpoint.registration.zone == self._zone else CROSS_ZONE_COST_S
+        )
         excess_load = max(0.0, running / slots - 1.0)
-        cold_factor = COLD_TIMES if now_s < endpoint.cold_until_s else 1.0
+        cold_factor = COLD_FACTOR if now_s < endpoint.cold_until_s else 1.0
         if not profile.parts:
             busy_factor = 1.0 + running / slots + excess_load
             seconds = (
@@ -321,10 +334,12 @@
             return cold_factor * seconds
         rank = homes.index(endpoint) if endpoint in homes else len(homes)
         uncached = endpoint.uncached_tokens(profile, _is_home(endpoint, homes), now_s)
-        factor = SECOND_HOME_TIMES if rank == 1 else LEAVE_HOME_TIMES
+        factor = SECOND_HOME_FACTOR if rank == 1 else LEAVE_HOME_FACTOR
         shared = max(0, uncached - profile.unshared_tokens) * (factor - 1)
         seconds = (
-            prefill_s(uncached, profile.prompt_tokens) + running * RUNNING_S + STEP_S
+            prefill_s(uncached, profile.prompt_tokens)
+            + running * RUNNING_REQUEST_COST_S
+            + FIRST_TOKEN_OVERHEAD_S
         )
         seconds += shared / PREFILL_TOKENS_PER_S
         seconds += endpoint.pending_prefill_s + endpoint.peer_prefill_left_s(now_s)
@@ -349,8 +364,10 @@
     return bool(homes) and endpoint is homes[0]
 
 
-def _has_capacity(endpoint: Endpoint, load_times: float, max_connections: int) -> bool:
-    connection_limit = max(2.0, max_connections / load_times)
+def _has_capacity(
+    endpoint: Endpoint, fleet_load_ratio: float, max_connections: int
+) -> bool:
+    connection_limit = max(2.0, max_connections / fleet_load_ratio)
     slots = endpoint.registration.slots
-    queue_limit = max(4.0, QUEUE_TIMES * slots / load_times)
+    queue_limit = max(4.0, QUEUE_FACTOR * slots / fleet_load_ratio)
     return endpoint.running < min(connection_limit, queue_limit)
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -219,7 +219,7 @@
         return Failure(not_sent(gateway, exchange, time.monotonic()))
     free = release
     try:
-        if not gateway.endpoints.takes_work(chosen.endpoint):
+        if not gateway.endpoints.is_available(chosen.endpoint):
             return Failure(_not_placed("the endpoint left as it was claimed"))
         result = await _send_suspect(gateway, exchange, chosen)
         match result:
@@ -249,7 +249,7 @@
     exchange.tried.append(endpoint.endpoint_id)
     exchange.may_have_run = True
     exchange.choice = chosen
-    sent = book.send(chosen, exchange.need, now_s)
+    sent = book.record_dispatch(chosen, exchange.need, now_s)
     gateway.tell_prompt(endpoint.endpoint_id, chosen.work_s)
     try:
         result = await attempt(gateway, exchange, endpoint, sent)
@@ -258,20 +258,20 @@
     match result:
         case Success(answer):
             if answer is not None and answer.status >= 500:
-                book.failed(endpoint, False, time.monotonic())
+                book.record_failure(endpoint, False, time.monotonic())
             else:
-                book.succeeded(endpoint)
+                book.record_success(endpoint)
                 ended_well(gateway, exchange)
         case Failure(failure):
             exchange.unsent += failure.gone or not failure.sent
             attempt_failed(gateway, exchange, endpoint.endpoint_id, failure)
-            book.failed(endpoint, failure.hard, time.monotonic())
+            book.record_failure(endpoint, failure.hard, time.monotonic())
             if failure.broke:
                 gateway.ended_endpoints.broke(endpoint, exchange.fingerprint)
             if failure.gone:
                 # While registrations cannot be read, the next request would be sent
                 # there too, and refused if its route allows one attempt.
-                book.disowned(endpoint.endpoint_id, time.monotonic())
+                book.deregister_now(endpoint.endpoint_id, time.monotonic())
             if failure.verdict is Verdict.DID_NOT_RUN:
                 exchange.may_have_run = ran_before
     return result
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -9,7 +9,7 @@
 from cachetools import LRUCache
 
 from celerytrack.durations import Durations
-from celerytrack.endpoints import EndpointBook
+from celerytrack.endpoints import EndpointPool
 from celerytrack.eras import EraChange, EraWatch
 from celerytrack.events import Event, log_event
 from celerytrack.findings import Crash, Findings
@@ -84,7 +84,7 @@
             settings.link_mbps,
             self.eras,
         )
-        self.endpoints = EndpointBook(settings.zone, self.rng)
+        self.endpoints = EndpointPool(settings.zone, self.rng)
         self.endpoints_known = False
         self.notes = PeerNotes(self._take_note)
         self.table: RoutingTable | None = None
@@ -102,7 +102,7 @@
         self._retries: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
         self.ended_endpoints = EndedEndpoints(
-            self.endpoints.superseded, self._endpoint_ended
+            self.endpoints.is_superseded, self._endpoint_ended
         )
         self.suspects = SuspectKeeper(
             self.store,
@@ -159,7 +159,7 @@
         if not self.keeper.started:
             # What was read since this start may be of the copy.
             self.config_known_at_s = float("-inf")
-        self.endpoints.restored()
+        self.endpoints.on_log_restored()
 
     def _endpoint_ended(self, ended: EndedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
@@ -172,7 +172,7 @@
         )
         now_s = time.monotonic()
         registration = ended.endpoint.registration
-        self.endpoints.ended(registration.endpoint_id, now_s)
+        self.endpoints.mark_crashed(registration.endpoint_id, now_s)
         ending = Crash(
             registration.endpoint_id, registration.born_ms, registration.build
         )
@@ -189,7 +189,7 @@
     def _hear_findings(self, findings: Findings) -> None:
         now_s = time.monotonic()
         for evidence in findings.evidence:
-            self.endpoints.ended(evidence.crash.endpoint_id, now_s)
+            self.endpoints.mark_crashed(evidence.crash.endpoint_id, now_s)
         self.suspects.hear(findings)
 
     def _log_shut_out(self, findings: Findings) -> None:
@@ -219,7 +219,7 @@
     def _take_note(self, note: Note) -> None:
         match note:
             case PromptNote(endpoint_id, work_s):
-                self.endpoints.note(endpoint_id, work_s, time.monotonic())
+                self.endpoints.add_peer_prefill(endpoint_id, work_s, time.monotonic())
             case LeaveNote(entry_id, started_s):
                 self.keeper.members.leaving(entry_id, started_s)
                 log_event(_log, Event.PEER_LEAVING, entry=entry_id)
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -27,7 +27,7 @@
     book = gateway.suspects.book
     if not book or not book.has_prefix(exchange.place):
         return SuspectState.CLEAR
-    builds = gateway.endpoints.builds(exchange.service, now_s)
+    builds = gateway.endpoints.available_builds(exchange.service, now_s)
     return book.state_of(exchange.fingerprint, builds, now_s)
 
 
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -4,7 +4,7 @@
 import time
 
 from celerytrack.endpoint import Registration
-from celerytrack.endpoints import Registered
+from celerytrack.endpoints import RegistrationChange
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.state import Gateway
 from celerytrack.gateway.tail import KeyedTail
@@ -65,11 +65,11 @@
     )
 
 
-def _log_registered(registration: Registration, took: Registered) -> None:
+def _log_registered(registration: Registration, took: RegistrationChange) -> None:
     event = Event.ENDPOINT_REGISTERED
-    if took is Registered.STALE:
+    if took is RegistrationChange.STALE:
         event = Event.ENDPOINT_STALE
-    elif took is Registered.STARTED_AGAIN:
+    elif took is RegistrationChange.RESTARTED:
         event = Event.ENDPOINT_STARTED_AGAIN
     elif registration.draining:
         event = Event.ENDPOINT_DRAINING
@@ -86,12 +86,12 @@
     """Follows the endpoints' registrations."""
 
     def drop(endpoint_id: EndpointId) -> None:
-        gateway.endpoints.dropped(endpoint_id, time.monotonic())
+        gateway.endpoints.mark_deregistered(endpoint_id, time.monotonic())
         log_event(_log, Event.ENDPOINT_GONE, endpoint=endpoint_id)
 
     def apply(record: KeyedRecord) -> None:
         now_s = time.monotonic()
-        for endpoint in gateway.endpoints.forget_gone(now_s):
+        for endpoint in gateway.endpoints.evict_deregistered(now_s):
             gateway.connections.lose(endpoint.endpoint_id)
             log_event(_log, Event.ENDPOINT_GONE, endpoint=endpoint.endpoint_id)
         endpoint_id = EndpointId(record.key)
@@ -104,19 +104,19 @@
             # Whoever wrote it, it says nothing that work could be sent by; what
             # the id said before is no longer so.
             log_event(_log, Event.REGISTRATION_REJECTED, logging.ERROR, detail=str(exc))
-            gateway.endpoints.disowned(endpoint_id, now_s)
+            gateway.endpoints.deregister_now(endpoint_id, now_s)
             return
         took = gateway.endpoints.register(registration, now_s)
-        if took is Registered.STARTED_AGAIN:
+        if took is RegistrationChange.RESTARTED:
             gateway.connections.lose(endpoint_id)
-        if took is not Registered.SAME:
+        if took is not RegistrationChange.SAME:
             _log_registered(registration, took)
 
     def reload(keys: set[str]) -> None:
         gateway.endpoints_known = True
         now_s = time.monotonic()
         rewritten = gateway.eras.rewritten(now_s)
-        for endpoint_id in gateway.endpoints.ids():
+        for endpoint_id in gateway.endpoints.registered_ids():
             if endpoint_id in keys:
                 continue
             if rewritten:
--- a/tests/crashing_endpoints.py
+++ b/tests/crashing_endpoints.py
@@ -190,7 +190,7 @@
         known = self.fleet.gateways
         count = len(self.endpoints)
         await self.fleet.until(
-            lambda: all(len(g.endpoints.ids()) == count for g in known)
+            lambda: all(len(g.endpoints.registered_ids()) == count for g in known)
         )
         self.started_s = time.monotonic()
         return self
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -168,7 +168,7 @@
                 endpoint.harmed = False
                 await endpoint.replace("v2")
             known = fleet.gateways[1].endpoints
-            await fleet.until(lambda: len(known.ids()) == len(run.endpoints))
+            await fleet.until(lambda: len(known.registered_ids()) == len(run.endpoints))
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=1), 200)
             await fleet.until(lambda: not any(_states(g) for g in fleet.gateways))
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=0), 200)
@@ -306,7 +306,9 @@
             fleet.log.put(ENDPOINTS_TOPIC, "i-0-1", record)
             known = fleet.gateways[0].endpoints
             service = ServiceName("s")
-            await fleet.until(lambda: not known.builds(service, time.monotonic()))
+            await fleet.until(
+                lambda: not known.available_builds(service, time.monotonic())
+            )
             endpoint.end("i-0-1")
             self.assertEqual(await asked, 502)
             await asyncio.sleep(0.4)
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -8,10 +8,10 @@
 
 from celerytrack.endpoint import Choice, Registration, RequestProfile
 from celerytrack.endpoints import (
-    EJECT_S,
-    GONE_GRACE_S,
-    EndpointBook,
-    Registered,
+    DEREGISTERED_GRACE_S,
+    MIN_EJECTION_S,
+    EndpointPool,
+    RegistrationChange,
 )
 from celerytrack.ids import AccountId, EndpointId, ServiceName, Zone
 from celerytrack.prefill import prefill_s
@@ -34,7 +34,7 @@
 
 
 def _book(*registrations):
-    book = EndpointBook(HERE, random.Random(1))
+    book = EndpointPool(HERE, random.Random(1))
     for registration in registrations:
         book.register(registration, 0.0)
     return book
@@ -47,7 +47,7 @@
 
 def _send(book, endpoint, need, now_s):
     work_s = prefill_s(need.prompt_tokens, need.prompt_tokens)
-    return book.send(Choice(endpoint, 0.1, work_s), need, now_s)
+    return book.record_dispatch(Choice(endpoint, 0.1, work_s), need, now_s)
 
 
 DRAINS = attrs.evolve(_reg("a", draining=True), born_ms=1)
@@ -77,7 +77,7 @@
         names = [f"r{i}" for i in range(6)]
         homes = set()
         for seed in range(5):
-            book = EndpointBook(HERE, random.Random(seed))
+            book = EndpointPool(HERE, random.Random(seed))
             for name in random.Random(seed).sample(names, 6):
                 book.register(_reg(name), 0.0)
             homes.add(_choose(book, PROMPT))
@@ -103,7 +103,7 @@
         book = _book(*(_reg(f"r{i}") for i in range(4)))
         choice = book.choose(PROMPT, 1, 100, [], 1.0)
         self.assertAlmostEqual(choice.work_s, prefill_s(600, 6_100))
-        sent = book.send(choice, PROMPT, 1.0)
+        sent = book.record_dispatch(choice, PROMPT, 1.0)
         self.assertEqual(sent.work_s, choice.work_s)
 
     def test_a_few_running_requests_do_not_outweigh_the_home(self):
@@ -140,19 +140,19 @@
     def test_an_unreachable_endpoint_is_ejected_and_comes_back(self):
         book = _book(_reg("a"), _reg("b", THERE))
         endpoint = book.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
-        book.failed(endpoint, True, 1.0)
-        self.assertEqual(_choose(book, now_s=1.0 + EJECT_S / 2), "b")
+        book.record_failure(endpoint, True, 1.0)
+        self.assertEqual(_choose(book, now_s=1.0 + MIN_EJECTION_S / 2), "b")
         other = book.choose(RequestProfile(S), 1, 100, ["a"], 1.0).endpoint
         for _ in range(4):
             _send(book, other, RequestProfile(S), 1.0)
-        self.assertEqual(_choose(book, now_s=1.0 + EJECT_S / 2), "b")
-        self.assertEqual(_choose(book, now_s=1.0 + 2 * EJECT_S), "a")
+        self.assertEqual(_choose(book, now_s=1.0 + MIN_EJECTION_S / 2), "b")
+        self.assertEqual(_choose(book, now_s=1.0 + 2 * MIN_EJECTION_S), "a")
 
     def test_an_endpoint_with_a_grey_failure_is_ejected(self):
         book = _book(_reg("a"), _reg("b", THERE))
         grey = book.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
         for _ in range(10):
-            book.failed(grey, False, 1.0)
+            book.record_failure(grey, False, 1.0)
         self.assertEqual(_choose(book, now_s=1.1), "b")
 
     def test_a_service_that_fails_evenly_loses_no_endpoint(self):
@@ -169,7 +169,7 @@
         for _ in range(4):
             for endpoint in set(map(id, both)):
                 target = next(e for e in both if id(e) == endpoint)
-                book.failed(target, False, 1.0)
+                book.record_failure(target, False, 1.0)
         self.assertIsNotNone(_choose(book, now_s=1.1))
 
 
@@ -191,8 +191,8 @@
         before = book.choose(PROMPT, 1, 100, [], 0.0).endpoint
         sent = _send(book, before, PROMPT, 0.0)
         before.slowness = 5.0
-        book.failed(before, True, 0.5)
-        self.assertIs(book.register(_start(2_000), 1.0), Registered.STARTED_AGAIN)
+        book.record_failure(before, True, 0.5)
+        self.assertIs(book.register(_start(2_000), 1.0), RegistrationChange.RESTARTED)
         now = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
         self.assertIsNot(now, before)
         self.assertEqual(
@@ -204,13 +204,13 @@
         self.assertEqual(now.running, 0)
 
     @params(
-        (_start(1_000, 9), _start(2_000, 1), Registered.STARTED_AGAIN),
-        (_start(2_000, 1), _start(1_000, 9), Registered.STALE),
-        (_start(1_000, 3), _start(1_000, 2), Registered.STALE),
-        (_start(1_000, 3), _start(1_000, 3), Registered.SAME),
-        (_start(1_000, 3), _start(1_000, 4, draining=True), Registered.CHANGED),
+        (_start(1_000, 9), _start(2_000, 1), RegistrationChange.RESTARTED),
+        (_start(2_000, 1), _start(1_000, 9), RegistrationChange.STALE),
+        (_start(1_000, 3), _start(1_000, 2), RegistrationChange.STALE),
+        (_start(1_000, 3), _start(1_000, 3), RegistrationChange.SAME),
+        (_start(1_000, 3), _start(1_000, 4, draining=True), RegistrationChange.CHANGED),
         # A record without a start time doesn't show a restart.
-        (_start(0, 3), _start(1_000, 4), Registered.SAME),
+        (_start(0, 3), _start(1_000, 4), RegistrationChange.SAME),
     )
     def test_the_order_of_records(self, known, read, expected):
         book = _book(known)
@@ -232,9 +232,9 @@
         process lands. The last record of an id was removed together with it.
         """
         book = _book(_start(2_000, 5))
-        book.dropped(EndpointId("a"), 1.0)
-        book.forget_gone(1.0 + 2 * GONE_GRACE_S)
-        self.assertIs(book.register(_start(1_000, 9), 9.0), Registered.STALE)
+        book.mark_deregistered(EndpointId("a"), 1.0)
+        book.evict_deregistered(1.0 + 2 * DEREGISTERED_GRACE_S)
+        self.assertIs(book.register(_start(1_000, 9), 9.0), RegistrationChange.STALE)
         self.assertIsNone(_choose(book, now_s=9.0))
 
 
@@ -244,7 +244,7 @@
         ("it drains", lambda b: b.register(DRAINS, 1.0), False),
         (
             "its registration disappears",
-            lambda b: b.dropped(EndpointId("a"), 1.0),
+            lambda b: b.mark_deregistered(EndpointId("a"), 1.0),
             False,
         ),
         (
@@ -259,7 +259,7 @@
         book = _book(attrs.evolve(_reg("a"), born_ms=1))
         chosen = book.choose(RequestProfile(S), 1, 100, [], 0.0)
         act(book)
-        self.assertEqual(book.takes_work(chosen.endpoint), available)
+        self.assertEqual(book.is_available(chosen.endpoint), available)
 
 
 class LapsedRegistrationTest(unittest.TestCase):
@@ -272,18 +272,18 @@
 
     def test_the_only_endpoint_is_used_for_the_grace_period(self):
         book = _book(_reg("a"))
-        book.dropped(EndpointId("a"), 1.0)
-        self.assertEqual(_choose(book, now_s=1.0 + GONE_GRACE_S / 2), "a")
-        self.assertIsNone(_choose(book, now_s=1.1 + GONE_GRACE_S))
+        book.mark_deregistered(EndpointId("a"), 1.0)
+        self.assertEqual(_choose(book, now_s=1.0 + DEREGISTERED_GRACE_S / 2), "a")
+        self.assertIsNone(_choose(book, now_s=1.1 + DEREGISTERED_GRACE_S))
 
     def test_an_endpoint_with_an_unusable_record_has_no_grace_period(self):
         book = _book(_reg("a"))
-        book.disowned(EndpointId("a"), 1.0)
+        book.deregister_now(EndpointId("a"), 1.0)
         self.assertIsNone(_choose(book, now_s=1.0))
 
     def test_a_registered_endpoint_is_preferred(self):
         book = _book(_reg("a"), _reg("b", THERE))
-        book.dropped(EndpointId("a"), 1.0)
+        book.mark_deregistered(EndpointId("a"), 1.0)
         self.assertEqual(_choose(book, now_s=1.1), "b")
 
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -6,7 +6,7 @@
 from nose2.tools import params
 
 from celerytrack.endpoint import Registration
-from celerytrack.endpoints import GONE_GRACE_S, EndpointBook, Registered
+from celerytrack.endpoints import DEREGISTERED_GRACE_S, EndpointPool, RegistrationChange
 from celerytrack.eras import REWRITTEN_S, Era, EraNews, EraWatch
 from celerytrack.ids import AccountId, EndpointId, EntryId, ServiceName, Zone
 from celerytrack.members import Member, MemberState, MemberView
@@ -224,37 +224,37 @@
 
 class RegistrationOfACopyTest(unittest.TestCase):
     def _left(self, forgotten):
-        book = EndpointBook(Zone("z"), random.Random(1))
+        book = EndpointPool(Zone("z"), random.Random(1))
         book.register(_registration(5), 0.0)
-        book.dropped(EndpointId("e"), 1.0)
+        book.mark_deregistered(EndpointId("e"), 1.0)
         if forgotten:
-            book.forget_gone(1.1 + GONE_GRACE_S)
+            book.evict_deregistered(1.1 + DEREGISTERED_GRACE_S)
         return book
 
     @params(
         # Whether it is forgotten by then, the record of the copy, what it counts as.
-        (False, _registration(5), Registered.STALE),
-        (False, _registration(4), Registered.STALE),
-        (False, _registration(6), Registered.SAME),
-        (True, _registration(5), Registered.STALE),
-        (True, _registration(6), Registered.NEW),
-        (True, _registration(1, born_ms=2), Registered.NEW),
+        (False, _registration(5), RegistrationChange.STALE),
+        (False, _registration(4), RegistrationChange.STALE),
+        (False, _registration(6), RegistrationChange.SAME),
+        (True, _registration(5), RegistrationChange.STALE),
+        (True, _registration(6), RegistrationChange.NEW),
+        (True, _registration(1, born_ms=2), RegistrationChange.NEW),
     )
     def test_who_left_comes_back_by_a_newer_record(self, forgotten, record, took):
         """The copy holds the last record of an endpoint that left, and it gets work."""
         book = self._left(forgotten)
-        book.restored()
+        book.on_log_restored()
         self.assertIs(book.register(record, 2.0), took)
-        stands = book.ids() == [EndpointId("e")]
-        self.assertIs(stands, took is not Registered.STALE)
+        stands = book.registered_ids() == [EndpointId("e")]
+        self.assertIs(stands, took is not RegistrationChange.STALE)
 
     def test_a_record_that_lapsed_is_back_as_it_was_without_a_restore(self):
         self.assertIs(
-            self._left(False).register(_registration(5), 2.0), Registered.SAME
+            self._left(False).register(_registration(5), 2.0), RegistrationChange.SAME
         )
 
     def test_what_is_missing_is_gone_after_its_time(self):
-        book = EndpointBook(Zone("z"), random.Random(1))
+        book = EndpointPool(Zone("z"), random.Random(1))
         book.restores.missing(EndpointId("e"), 1.0)
         book.restores.missing(EndpointId("f"), 1.0)
         book.restores.written(EndpointId("f"))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -238,7 +238,7 @@
                 record = other.registration(zone="far")
                 fleet.log.put(ENDPOINTS_TOPIC, other.name, record)
                 known = fleet.gateways[0].endpoints
-                await fleet.until(lambda: len(known.ids()) == 2)
+                await fleet.until(lambda: len(known.registered_ids()) == 2)
             status, headers, body = await fleet.ask("/plain/x")
             self.assertEqual(json.loads(body)["error"]["verdict"], "may_have_run")
             self.assertEqual(status, 502)
@@ -277,7 +277,10 @@
             fleet.log.put(ENDPOINTS_TOPIC, dark.name, dark.registration())
             gateway = fleet.gateways[0]
             await fleet.until(
-                lambda: gateway.table.version == 2 and len(gateway.endpoints.ids()) == 2
+                lambda: (
+                    gateway.table.version == 2
+                    and len(gateway.endpoints.registered_ids()) == 2
+                )
             )
             for i in range(6):
                 status, _, _ = await fleet.ask("/once/x", f"r{i}")
@@ -521,12 +524,12 @@
             for raw in (b"\xff", b"[" * 100_000, first.registration(state="asleep")):
                 fleet.log.put(ENDPOINTS_TOPIC, "i-1", raw)
             fleet.log.put(ENDPOINTS_TOPIC, "i-3", b"{}")
-            await fleet.until(lambda: book.ids() == ["i-2"])
+            await fleet.until(lambda: book.registered_ids() == ["i-2"])
             for i in range(6):
                 await fleet.ask("/plain/x", f"r{i}")
             self.assertEqual((len(first.seen), len(second.seen)), (0, 6))
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first.registration())
-            await fleet.until(lambda: set(book.ids()) == {"i-1", "i-2"})
+            await fleet.until(lambda: set(book.registered_ids()) == {"i-1", "i-2"})
 
     async def test_nor_where_its_service_has_no_other(self):
         """Symptom: for 1.5 s after its record was none, the only endpoint of a
@@ -540,7 +543,7 @@
         async with Fleet(only) as fleet:
             book = fleet.gateways[0].endpoints
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", b"{}")
-            await fleet.until(lambda: book.ids() == [])
+            await fleet.until(lambda: book.registered_ids() == [])
             status, _, _ = await fleet.ask("/plain/x")
             self.assertEqual((status, len(only.seen)), (503, 0))
 
--- a/tests/test_peer_notes.py
+++ b/tests/test_peer_notes.py
@@ -8,7 +8,7 @@
 from nose2.tools import params
 
 from celerytrack.endpoint import Registration, RequestProfile
-from celerytrack.endpoints import EndpointBook
+from celerytrack.endpoints import EndpointPool
 from celerytrack.gateway.peer_notes import LeaveNote, PeerNotes, PromptNote
 from celerytrack.ids import EndpointId, EntryId, ServiceName, Zone
 
@@ -97,14 +97,14 @@
         later this entry sends a short one there, which waits behind it.
         Cause: an entry knew of its own prompts only.
         """
-        book = EndpointBook(Zone("z"), random.Random(1))
+        book = EndpointPool(Zone("z"), random.Random(1))
         for name in ("i-home", "i-far"):
             zone = Zone("z" if name == "i-home" else "other")
             registration = Registration(
                 EndpointId(name), SERVICE, "127.0.0.1:1", zone, 64, False
             )
             book.register(registration, 0.0)
-        book.note(EndpointId("i-home"), 0.4, 0.0)
+        book.add_peer_prefill(EndpointId("i-home"), 0.4, 0.0)
         need = RequestProfile(SERVICE, (("m/a", 500),))
         chosen = book.choose(need, 2, 100, (), since_s)
         self.assertIsNotNone(chosen)
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -209,14 +209,20 @@
             gateway, log = fleet.gateways[0], fleet.log
             numbers = {"born": 1, "sequence": 1}
             log.put(ENDPOINTS_TOPIC, "left", left.registration(**numbers))
-            await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a", "left"})
+            await fleet.until(
+                lambda: set(gateway.endpoints.registered_ids()) == {"a", "left"}
+            )
             older = log.copy()
             log.put(ENDPOINTS_TOPIC, "left", b"")
             log.put(ENDPOINTS_TOPIC, "late", late.registration(**numbers))
-            await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a", "late"})
+            await fleet.until(
+                lambda: set(gateway.endpoints.registered_ids()) == {"a", "late"}
+            )
             log.restore(older)
             ends_s = time.monotonic() + 1.5
             while time.monotonic() < ends_s:
-                self.assertEqual(set(gateway.endpoints.ids()), {"a", "late"})
+                self.assertEqual(set(gateway.endpoints.registered_ids()), {"a", "late"})
                 await asyncio.sleep(0.05)
-            await fleet.until(lambda: set(gateway.endpoints.ids()) == {"a"}, 3.0)
+            await fleet.until(
+                lambda: set(gateway.endpoints.registered_ids()) == {"a"}, 3.0
+            )
