--- a/bench/rows_bench.py
+++ b/bench/rows_bench.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from celerytrack.ids import AccountId, EntryId, Zone
-from celerytrack.members import Member, MemberState, MemberView
+from celerytrack.members import Member, MembershipView, MemberState
 from celerytrack.platform.rows import decode_member, encode_member
 from celerytrack.prepaid import PrepaidBook, Row
 
@@ -43,7 +43,7 @@
 def measure(entries: int, account_count: int) -> dict[str, float]:
     """The figures of one size of fleet."""
     accounts = [AccountId(f"account{i:02}") for i in range(account_count)]
-    book, view = PrepaidBook(EntryId("me")), MemberView(EntryId("me"))
+    book, view = PrepaidBook(EntryId("me")), MembershipView(EntryId("me"))
     book.set_totals(dict.fromkeys(accounts, TOTAL_TOKENS))
     book.adopt(None)
     rows = [_row(i % entries, float(i), accounts) for i in range(ROUNDS * entries)]
--- a/src/celerytrack/clocks.py
+++ b/src/celerytrack/clocks.py
@@ -6,7 +6,7 @@
 
 import statistics
 
-from celerytrack.members import FEWEST_WITNESSES, Member
+from celerytrack.members import MIN_CLOCK_PEERS, Member
 from celerytrack.row_pace import BEAT_S
 
 CLOCK_SLACK_S = 0.2
@@ -57,7 +57,7 @@
         if row.left_at_s is not None
         and abs(row.started_at_s - mine.started_at_s) < AGREE_S
     ]
-    if len(witnesses) < max(FEWEST_WITNESSES, len(others) // 2):
+    if len(witnesses) < max(MIN_CLOCK_PEERS, len(others) // 2):
         return None
     started_at_s = statistics.median(row.started_at_s for row in witnesses)
     return _age_s(left, mine, lead_s, started_at_s - mine.started_at_s)
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -10,7 +10,7 @@
 )
 from celerytrack.eras import Era
 from celerytrack.events import Event, log_event
-from celerytrack.members import Member, MemberView
+from celerytrack.members import Member, MembershipView
 from celerytrack.prepaid import PrepaidBook
 
 _log = logging.getLogger(__name__)
@@ -47,7 +47,9 @@
         self._doubtful = last if age_s is None else None
         return age_s
 
-    def reconsider(self, mine: Member, members: MemberView, book: PrepaidBook) -> None:
+    def reconsider(
+        self, mine: Member, members: MembershipView, book: PrepaidBook
+    ) -> None:
         """See how old the last row was, by those that lost power too or by those
         that did not, so that the rest of the claim adopted as spent is free.
 
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -9,7 +9,7 @@
 
 from celerytrack.gateway.gifts import GiftClient
 from celerytrack.ids import AccountId, EntryId
-from celerytrack.members import MemberView
+from celerytrack.members import MembershipView
 from celerytrack.prepaid import PrepaidBook, Reservation
 
 WAIT_TOKENS_S = 0.35
@@ -62,7 +62,7 @@
     def __init__(
         self,
         book: PrepaidBook,
-        members: MemberView,
+        members: MembershipView,
         gifts: GiftClient,
         rows: RowTask,
     ) -> None:
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -20,7 +20,7 @@
 from celerytrack.gateway.tail import KeyedTail
 from celerytrack.gateway.watches import make_config_tail, make_endpoint_tail
 from celerytrack.ids import Zone
-from celerytrack.members import DEFAULT_TTL_S, Member, MemberState, choose_addresses
+from celerytrack.members import ADDRESS_TTL_S, Member, MemberState, choose_addresses
 from celerytrack.planned_stop import PlannedStop
 from celerytrack.platform.http import (
     READY_PATH,
@@ -152,7 +152,7 @@
         addresses = choose_addresses(self._serving(), zone, self._gateway.rng)
         if not addresses:
             return web.Response(status=503)
-        ttl_s = min(DEFAULT_TTL_S, self._gateway.settings.max_ttl_s)
+        ttl_s = min(ADDRESS_TTL_S, self._gateway.settings.max_ttl_s)
         body = json.dumps(encode_addresses(addresses, ttl_s)).encode()
         return web.Response(body=body, content_type="application/json")
 
@@ -168,7 +168,7 @@
 
     def _serving(self) -> list[Member]:
         gateway = self._gateway
-        members = gateway.keeper.members.live(time.monotonic())
+        members = gateway.keeper.members.live_peers(time.monotonic())
         front = gateway.settings.front_address
         if gateway.ready and front is not None:
             zone = gateway.settings.zone
--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -29,8 +29,8 @@
 from celerytrack.member import of_other_eras
 from celerytrack.members import (
     Member,
+    MembershipView,
     MemberState,
-    MemberView,
 )
 from celerytrack.platform.log_format import KeyedRecord
 from celerytrack.platform.rows import RowError, decode_member, encode_member
@@ -73,7 +73,7 @@
         eras: EraWatch | None = None,
     ) -> None:
         self.book = PrepaidBook(entry_id)
-        self.members = MemberView(entry_id, link_mbps)
+        self.members = MembershipView(entry_id, link_mbps)
         self._pace = RowPace()
         self.state = MemberState.SERVING
         self.started = False
@@ -139,9 +139,9 @@
                 await self._fence_again()
                 self._row_due = True
             now_s = time.monotonic()
-            division = self.members.division(now_s)
-            entries = division.allowances
-            urgent = self._plan(division.parts, now_s)
+            division = self.members.caller_split(now_s)
+            entries = division.rate_limit_shares
+            urgent = self._plan(division.account_shares, now_s)
             interval_s = beat_interval_s(entries)
             if urgent or self._row_due or now_s - written_s >= interval_s:
                 self._row_due = False
@@ -203,7 +203,7 @@
         era = self._eras.known
         if era is None or (last is not None and last.era in (None, era)):
             return
-        others = self.members.live(time.monotonic())[:MOST_ASKED]
+        others = self.members.live_peers(time.monotonic())[:MOST_ASKED]
         asked = (self._gifts.ask_row(m.peer_address, self._entry_id) for m in others)
         for row in await asyncio.gather(*asked):
             self.book.recall(row)
@@ -258,7 +258,7 @@
                 raise RestoredError
         self._sent_s = None
         self._learn_row_time(time.monotonic() - now_s)
-        self.members.read_ok(time.monotonic())
+        self.members.record_read(time.monotonic())
         self.book.row_folded()
         self._rows_folded = self._rows_made
         self._last_row.reconsider(member, self.members, self.book)
@@ -274,7 +274,7 @@
 
     def _era_changed(self, change: EraChange) -> None:
         """Hold at once: what other tasks read next is of the copy."""
-        alive = self.members.lately_written()
+        alive = self.members.recent_writers()
         if not self.started:
             alive = set(self._rows_of_other_eras())
         awaited = alive - {self._entry_id}
@@ -313,7 +313,7 @@
 
     def _apply(self, record: KeyedRecord) -> None:
         if record.value is None:
-            self.members.dropped(EntryId(record.key))
+            self.members.remove(EntryId(record.key))
             self.book.fold(EntryId(record.key), {})
             return
         try:
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -181,7 +181,7 @@
         self._log_shut_out(found)
 
     def _tell_findings(self, findings: Findings) -> None:
-        members = self.keeper.members.live(time.monotonic())
+        members = self.keeper.members.live_peers(time.monotonic())
         self.suspects.entries = len(members) + 1
         addresses = [member.peer_address for member in members]
         self.notes.tell_findings(addresses, findings)
@@ -221,14 +221,14 @@
             case PromptNote(endpoint_id, work_s):
                 self.endpoints.add_peer_prefill(endpoint_id, work_s, time.monotonic())
             case LeaveNote(entry_id, started_s):
-                self.keeper.members.leaving(entry_id, started_s)
+                self.keeper.members.mark_leaving(entry_id, started_s)
                 log_event(_log, Event.PEER_LEAVING, entry=entry_id)
             case Findings():
                 self._hear_findings(note)
 
     def tell_leaving(self) -> None:
         """Tell the others, who send callers here, that a planned stop has begun."""
-        members = self.keeper.members.live(time.monotonic())
+        members = self.keeper.members.live_peers(time.monotonic())
         addresses = [member.peer_address for member in members]
         self.notes.tell_leaving(addresses, LeaveNote(self.entry_id, self.started_s))
 
@@ -238,20 +238,22 @@
         nothing to engines."""
         if work_s < NOTE_LEAST_S:
             return
-        division = self.keeper.members.division(time.monotonic())
-        addresses = [member.peer_address for member in division.sharers]
+        division = self.keeper.members.caller_split(time.monotonic())
+        addresses = [member.peer_address for member in division.caller_peers]
         self.notes.tell_prompt(addresses, PromptNote(endpoint_id, work_s))
 
     def load_times(self, now_s: float) -> float:
         """How many times the work of this entry the fleet does."""
-        return self.keeper.members.division(now_s).load_times
+        return self.keeper.members.caller_split(now_s).fleet_load_ratio
 
     def retry_budget(self, service: ServiceName, now_s: float) -> RetryBudget:
         """The allowance for second attempts at ``service``."""
         budget = self._retries.get(service)
         if budget is None:
             share = RETRY_SHARE * self.settings.retry_slack / 2
-            burst = max(1.0, share / self.keeper.members.division(now_s).allowances)
+            burst = max(
+                1.0, share / self.keeper.members.caller_split(now_s).rate_limit_shares
+            )
             budget = RetryBudget(self.settings.retry_ratio * RETRY_SHARE, burst)
             self._retries[service] = budget
         return budget
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -92,7 +92,7 @@
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
     trial = Probe(fingerprint, endpoint.endpoint_id, exchange.ends_s - now_s)
-    members = gateway.keeper.members.live(now_s)
+    members = gateway.keeper.members.live_peers(now_s)
     others = [member.entry_id for member in members]
     if not await gateway.suspects.claim(trial, others):
         return False
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -18,13 +18,13 @@
 from celerytrack.member import Member, MemberState, older_row
 from celerytrack.row_pace import beat_interval_s
 
-SILENT_BEATS = 3.5
+MISSED_HEARTBEATS = 3.5
 """Heartbeat intervals after which an entry counts as silent: one row may be lost and
 the next may be late."""
-SILENT_LEAST_S = 3.5
+MIN_SILENCE_S = 3.5
 """Shortest time without a row after which an entry counts as silent. An instance that
 has used up its CPU quota, or is throttled, still serves callers between late rows."""
-DEFAULT_TTL_S = 1.0
+ADDRESS_TTL_S = 1.0
 """How long callers cache an address answer. A leaving entry is out of the answers
 within one second and out of the callers' caches one second later; three seconds later
 for callers that cache answers three times as long."""
@@ -34,58 +34,59 @@
 """An entry whose spending rate exceeds this share of the mean rate of the advertised
 entries has callers, even if its address is not advertised: the callers of a large
 account may stay with one entry."""
-DIVISION_S = 0.05
-"""How long a :class:`Division` is cached. Rows arrive no faster, and in a fleet of
+SPLIT_CACHE_S = 0.05
+"""How long a :class:`CallerSplit` is cached. Rows arrive no faster, and in a fleet of
 hundreds of entries each request would otherwise scan every row."""
 
 
 @attrs.frozen
-class Division:
+class CallerSplit:
     """How the callers are divided among the entries.
 
     :ivar entries: number of live entries, including this one.
-    :ivar sharers: the other live entries that serve callers.
-    :ivar takes_callers: whether this entry serves callers.
-    :ivar load_times: estimated ratio of the fleet's load to the load of this entry:
-        ``taking``, or less for an entry with more than an equal share of the load.
+    :ivar caller_peers: the other live entries that serve callers.
+    :ivar has_callers: whether this entry serves callers.
+    :ivar fleet_load_ratio: estimated ratio of the fleet's load to the load of this
+        entry: ``caller_entries``, or less for an entry with more than an equal share of
+        the load.
     """
 
     entries: int
-    sharers: "tuple[Member, ...]"
-    takes_callers: bool
-    load_times: float
+    caller_peers: "tuple[Member, ...]"
+    has_callers: bool
+    fleet_load_ratio: float
 
     @property
-    def taking(self) -> int:
+    def caller_entries(self) -> int:
         """Number of entries that serve callers, counting this one."""
-        return len(self.sharers) + 1
+        return len(self.caller_peers) + 1
 
     @property
-    def allowances(self) -> int:
+    def rate_limit_shares(self) -> int:
         """Number of equal shares into which fleet-wide limits are divided, such as rows
         per second and retries."""
-        return self.taking if self.takes_callers else self.entries
+        return self.caller_entries if self.has_callers else self.entries
 
     @property
-    def parts(self) -> float:
+    def account_shares(self) -> float:
         """Number of equal shares into which an account's tokens are divided until it is
         known which entries spend them.
 
         An entry without callers gets no share: nobody could spend the tokens that
         hundreds of such entries hold, and a power loss would lose them.
         """
-        return self.taking if self.takes_callers else math.inf
+        return self.caller_entries if self.has_callers else math.inf
 
 
-FEWEST_WITNESSES = 2
+MIN_CLOCK_PEERS = 2
 """Smallest number of other entries for a comparison of clocks."""
 
 
 def _silence_limit_s(entries: int) -> float:
-    return max(SILENT_LEAST_S, beat_interval_s(entries) * SILENT_BEATS)
+    return max(MIN_SILENCE_S, beat_interval_s(entries) * MISSED_HEARTBEATS)
 
 
-PROMPT_ROWS = 3
+CLOCK_SAMPLES = 3
 """Last rows of an entry, of which the one with the shortest delay is used to compare
 clocks. The first row is read at the start and may be old; a row that lands as an outage
 ends may have been made seconds before."""
@@ -102,11 +103,11 @@
     member: Member
     read_at_s: float
     delays_s: collections.deque[float] = attrs.field(
-        factory=lambda: collections.deque(maxlen=PROMPT_ROWS)
+        factory=lambda: collections.deque(maxlen=CLOCK_SAMPLES)
     )
 
 
-class MemberView:
+class MembershipView:
     """The entries of the fleet, as this entry knows them.
 
     :param me: this entry.
@@ -121,7 +122,7 @@
         self._last_read_s = float("-inf")
         self._readable_since_s = float("inf")
         self._rates_tokens_per_s: dict[EntryId, int] = {}
-        self._cached_division = (float("-inf"), Division(1, (), True, 1.0))
+        self._cached_split = (float("-inf"), CallerSplit(1, (), True, 1.0))
 
     def fold(self, member: Member, now_s: float) -> None:
         """Apply a row that was read at ``now_s``."""
@@ -158,41 +159,42 @@
         :returns: ``None`` if there are too few other entries.
         """
         others = [known for entry, known in self._entries.items() if entry != self.me]
-        if len(others) < FEWEST_WITNESSES:
+        if len(others) < MIN_CLOCK_PEERS:
             return None
         return statistics.median(min(s.delays_s) for s in others) + clock_offset_s
 
     def prompt_clock_lead_s(self, clock_offset_s: float) -> float | None:
-        """Like :meth:`clock_lead_s`, but only by entries with :data:`PROMPT_ROWS` rows.
+        """Like :meth:`clock_lead_s`, but only by entries with :data:`CLOCK_SAMPLES`
+        rows.
 
         :param clock_offset_s: this entry's time of day less its steady clock, now.
         :returns: ``None`` if these are not the majority of the other entries, or fewer
-            than :data:`FEWEST_WITNESSES`.
+            than :data:`MIN_CLOCK_PEERS`.
         """
         prompt = [
             min(known.delays_s)
             for entry, known in self._entries.items()
-            if entry != self.me and len(known.delays_s) == PROMPT_ROWS
+            if entry != self.me and len(known.delays_s) == CLOCK_SAMPLES
         ]
         others = len(self._entries.keys() - {self.me})
-        if len(prompt) < max(FEWEST_WITNESSES, others // 2 + 1):
+        if len(prompt) < max(MIN_CLOCK_PEERS, others // 2 + 1):
             return None
         return statistics.median(prompt) + clock_offset_s
 
-    def leaving(self, entry: EntryId, started_s: float) -> None:
+    def mark_leaving(self, entry: EntryId, started_s: float) -> None:
         """Record the notice of ``entry`` that its process of ``started_s`` is leaving.
 
         Rows of that process in state ``SERVING`` were made before the notice.
         """
         self._leaving_starts_s[entry] = started_s
 
-    def dropped(self, entry: EntryId) -> None:
+    def remove(self, entry: EntryId) -> None:
         """Remove ``entry``, whose row was deleted."""
         self._entries.pop(entry, None)
         self._leaving_starts_s.pop(entry, None)
         self._rates_tokens_per_s.pop(entry, None)
 
-    def read_ok(self, now_s: float) -> None:
+    def record_read(self, now_s: float) -> None:
         """Record that the log answered a read at ``now_s``."""
         limit_s = _silence_limit_s(len(self._entries))
         if now_s - self._last_read_s > limit_s / 2:
@@ -201,7 +203,7 @@
             self._readable_since_s = now_s
         self._last_read_s = now_s
 
-    def lately_written(self) -> set[EntryId]:
+    def recent_writers(self) -> set[EntryId]:
         """The entries that were not silent at the last read of the log."""
         limit_s = _silence_limit_s(len(self._entries))
         return {
@@ -214,7 +216,7 @@
         """Time since the last successful read of the log."""
         return now_s - self._last_read_s
 
-    def live(self, now_s: float) -> list[Member]:
+    def live_peers(self, now_s: float) -> list[Member]:
         """The other entries that are alive and serving."""
         limit_s = _silence_limit_s(len(self._entries))
         readable = now_s - self._last_read_s < limit_s / 2
@@ -228,16 +230,16 @@
             and not (settled and now_s - known.read_at_s > limit_s)
         ]
 
-    def division(self, now_s: float) -> Division:
+    def caller_split(self, now_s: float) -> CallerSplit:
         """How the callers and the load are divided now; cached for a short time."""
-        at_s, cached = self._cached_division
-        if not 0 <= now_s - at_s < DIVISION_S:
-            cached = self._divide(now_s)
-            self._cached_division = (now_s, cached)
+        at_s, cached = self._cached_split
+        if not 0 <= now_s - at_s < SPLIT_CACHE_S:
+            cached = self._split_callers(now_s)
+            self._cached_split = (now_s, cached)
         return cached
 
-    def _divide(self, now_s: float) -> Division:
-        others = self.live(now_s)
+    def _split_callers(self, now_s: float) -> CallerSplit:
+        others = self.live_peers(now_s)
         links_mbps = [*(m.link_mbps for m in others), self.link_mbps]
         least_mbps = least_link_mbps(links_mbps)
         advertised = sum(mbps >= least_mbps for mbps in links_mbps)
@@ -245,19 +247,19 @@
         fleet_rate = sum(rates.values())
         busy_rate = BUSY_SHARE * fleet_rate / max(1, advertised)
 
-        def takes_callers(entry: EntryId, link_mbps: float) -> bool:
+        def has_callers(entry: EntryId, link_mbps: float) -> bool:
             return link_mbps >= least_mbps or rates.get(entry, 0) > busy_rate
 
-        sharers = tuple(m for m in others if takes_callers(m.entry_id, m.link_mbps))
-        taking = len(sharers) + 1
+        caller_peers = tuple(m for m in others if has_callers(m.entry_id, m.link_mbps))
+        caller_entries = len(caller_peers) + 1
         own_rate = rates.get(self.me, 0)
-        return Division(
+        return CallerSplit(
             entries=len(others) + 1,
-            sharers=sharers,
-            takes_callers=takes_callers(self.me, self.link_mbps),
-            load_times=min(taking, max(1.0, fleet_rate / own_rate))
+            caller_peers=caller_peers,
+            has_callers=has_callers(self.me, self.link_mbps),
+            fleet_load_ratio=min(caller_entries, max(1.0, fleet_rate / own_rate))
             if own_rate
-            else taking,
+            else caller_entries,
         )
 
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -9,7 +9,7 @@
 from celerytrack.endpoints import DEREGISTERED_GRACE_S, EndpointPool, RegistrationChange
 from celerytrack.eras import REWRITTEN_S, Era, EraNews, EraWatch
 from celerytrack.ids import AccountId, EndpointId, EntryId, ServiceName, Zone
-from celerytrack.members import Member, MemberState, MemberView
+from celerytrack.members import Member, MembershipView, MemberState
 from celerytrack.platform.log_format import decode_era
 from celerytrack.platform.rows import decode_member, encode_member
 from celerytrack.prepaid import PrepaidBook, Row
@@ -205,7 +205,7 @@
     )
     def test_only_a_newer_row_replaces_another(self, known, read, taken):
         """An entry that leaves is told to callers again, from the copy."""
-        view = MemberView(ME)
+        view = MembershipView(ME)
         view.fold(_member(**known, state=MemberState.LEAVING), 0.0)
         view.fold(_member(**read), 1.0)
         self.assertIs(view.member(PEER).state is MemberState.SERVING, taken)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -556,7 +556,7 @@
 
         async with _fleet(slow, gateways=2) as fleet:
             leaving, other = fleet.gateways
-            await fleet.until(lambda: len(other.keeper.members.live(1e9)) == 1)
+            await fleet.until(lambda: len(other.keeper.members.live_peers(1e9)) == 1)
             asked = asyncio.create_task(fleet.ask("/once/x"))
             await fleet.until(lambda: _runs(fleet) == 1)
             fleet.servers[0].stop()
@@ -565,7 +565,7 @@
             late = await fleet.ask("/plain/late", "r2")
             self.assertEqual((late[0], late[1].get("Connection")), (200, "close"))
             await fleet.until(
-                lambda: not other.keeper.members.live(1e9),
+                lambda: not other.keeper.members.live_peers(1e9),
             )
             address = other.settings.directory_address
             url = f"http://{address}/resolve?name={HOST}&zone=z"
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -298,11 +298,11 @@
         good = Endpoint("i-1", _large_answer)
         async with Fleet(good, gateways=2) as fleet:
             views = [gateway.keeper.members for gateway in fleet.gateways]
-            await fleet.until(lambda: all(len(v.live(1e9)) == 1 for v in views))
+            await fleet.until(lambda: all(len(v.live_peers(1e9)) == 1 for v in views))
             fleet.log.down = True
             await asyncio.sleep(0.5)
             fleet.servers[0].stop()
-            await fleet.until(lambda: not views[1].live(1e9), 0.3)
+            await fleet.until(lambda: not views[1].live_peers(1e9), 0.3)
 
     def test_the_last_row_gives_the_unspent_tokens_back(self):
         """Guards against tokens that count as spent since a stop wrote no last row."""
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -16,8 +16,8 @@
 from celerytrack.links import UNEQUAL_TIMES, least_link_mbps
 from celerytrack.members import (
     Member,
+    MembershipView,
     MemberState,
-    MemberView,
     choose_addresses,
 )
 from celerytrack.prepaid import PrepaidBook, Row
@@ -466,7 +466,7 @@
         reads them as if they were new. Cause of the guard: a late row makes the
         reader's clock look ahead by as much as it is behind.
         """
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for name in ("a", "b", "c"):
             view.fold(_member(EntryId(name), made_s=98.0, offset_s=0.0), 100.0)
         self.assertIsNone(view.prompt_clock_lead_s(-2.0))
@@ -486,7 +486,7 @@
         (2.4, 8.0, 10.4),
     )
     def test_late_rows_never_hide_a_clock_that_is_ahead(self, ahead_s, late_s, lead_s):
-        view = MemberView(ME)
+        view = MembershipView(ME)
         self.assertIsNone(view.clock_lead_s(1_000.0))
         for entry in (PEER, THIRD):
             # Made at 1,100 s of the day, which is 100 s by my steady clock.
@@ -494,7 +494,7 @@
         self.assertAlmostEqual(view.clock_lead_s(1_000.0 + ahead_s), lead_s)
 
     def test_a_clock_set_after_the_others_were_read_is_seen(self):
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for entry in (PEER, THIRD):
             view.fold(_member(entry, made_s=100.0), 100.1)
         self.assertAlmostEqual(view.clock_lead_s(0.0), 0.1)
@@ -511,7 +511,7 @@
         was, and all that was claimed counts as spent.
         Cause: only the newest row of each entry was looked at.
         """
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for made_s, read_s in ((21.0, 21.1), (22.0, 22.1), (23.0, 31.7)):
             for entry in (PEER, THIRD):
                 view.fold(_member(entry, made_s=made_s), read_s)
@@ -520,23 +520,23 @@
 
 class MemberViewTest(unittest.TestCase):
     def test_silence_counts_only_while_the_log_is_read(self):
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for second in range(20):
-            view.read_ok(float(second))
+            view.record_read(float(second))
             view.fold(_member(THIRD), float(second))
             if second < 10:
                 view.fold(_member(PEER), float(second))
-        self.assertEqual([m.entry_id for m in view.live(19.5)], [THIRD])
+        self.assertEqual([m.entry_id for m in view.live_peers(19.5)], [THIRD])
         # The log is away: the last view stands, whoever is silent.
-        self.assertEqual(len(view.live(40.0)), 2)
-        view.read_ok(40.0)
-        self.assertEqual(len(view.live(40.1)), 2)
+        self.assertEqual(len(view.live_peers(40.0)), 2)
+        view.record_read(40.0)
+        self.assertEqual(len(view.live_peers(40.1)), 2)
 
     def test_a_leaving_entry_is_not_named(self):
-        view = MemberView(ME)
-        view.read_ok(0.0)
+        view = MembershipView(ME)
+        view.record_read(0.0)
         view.fold(_member(PEER, state=MemberState.LEAVING), 0.0)
-        self.assertEqual(view.live(0.1), [])
+        self.assertEqual(view.live_peers(0.1), [])
 
     @params((6, 0.3), (80, 80 / 60), (300, 5.0))
     def test_rows_a_second_do_not_grow_with_the_fleet(self, entries, expected_s):
@@ -596,20 +596,20 @@
         self, mine, taking, allowances, parts
     ):
         view = _fleet_view(mine, {})
-        division = view.division(0.1)
-        self.assertEqual(division.taking, taking)
-        self.assertEqual(division.allowances, allowances)
-        self.assertEqual(division.parts, parts)
-        told = choose_addresses(view.live(0.1), Zone("z"), random.Random(1))
+        division = view.caller_split(0.1)
+        self.assertEqual(division.caller_entries, taking)
+        self.assertEqual(division.rate_limit_shares, allowances)
+        self.assertEqual(division.account_shares, parts)
+        told = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
         self.assertEqual(set(told), {str(WIDE)})
 
     def test_all_are_told_when_they_are_gone(self):
-        view = MemberView(ME, NARROW)
+        view = MembershipView(ME, NARROW)
         for i in range(10):
             member = _member(EntryId(f"e{i}"))
             view.fold(attrs.evolve(member, link_mbps=NARROW), 0.0)
-        self.assertEqual(view.division(0.1).taking, 11)
-        told = choose_addresses(view.live(0.1), Zone("z"), random.Random(1))
+        self.assertEqual(view.caller_split(0.1).caller_entries, 11)
+        told = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
         self.assertEqual(len(told), 10)
 
 
@@ -618,7 +618,7 @@
 
     :param rates: tokens a second that entries spend, by name; ``ME`` among them.
     """
-    view = MemberView(ME, mine_mbps)
+    view = MembershipView(ME, mine_mbps)
     links = [WIDE] * 6 + [NARROW] * 58
     links.remove(mine_mbps)
     entries = {EntryId(f"e{i}"): mbps for i, mbps in enumerate(links)}
@@ -656,16 +656,16 @@
     def test_an_entry_with_callers_of_its_own_counts_as_one_that_has_them(
         self, rate, mine, allowances, taking
     ):
-        division = _fleet_view(mine, {**self.TOLD, ME: rate}).division(0.1)
-        self.assertEqual(division.allowances, allowances)
-        self.assertEqual(division.taking, taking)
+        division = _fleet_view(mine, {**self.TOLD, ME: rate}).caller_split(0.1)
+        self.assertEqual(division.rate_limit_shares, allowances)
+        self.assertEqual(division.caller_entries, taking)
 
     @params((20_000, 7), (900, 6))
     def test_the_others_leave_it_its_part(self, rate, taking):
         rates = {EntryId("e0"): 10_000, EntryId("e20"): rate, ME: 10_000}
         rates |= {EntryId(f"e{i}"): 10_000 for i in range(1, 5)}
-        division = _fleet_view(WIDE, rates).division(0.1)
-        self.assertEqual(division.allowances, taking)
+        division = _fleet_view(WIDE, rates).caller_split(0.1)
+        self.assertEqual(division.rate_limit_shares, taking)
 
     @params(
         # what this entry spends, and how many times its work the fleet is taken to do
@@ -675,15 +675,15 @@
         (60_000, 2.0),
     )
     def test_its_work_stands_for_what_the_fleet_does(self, rate, times):
-        division = _fleet_view(NARROW, {**self.TOLD, ME: rate}).division(0.1)
-        self.assertAlmostEqual(division.load_times, times)
+        division = _fleet_view(NARROW, {**self.TOLD, ME: rate}).caller_split(0.1)
+        self.assertAlmostEqual(division.fleet_load_ratio, times)
 
     def test_those_with_callers_are_told_of_prompts_and_no_others(self):
         """Notes of long prompts went to the first hundred entries of 195, in the order
         in which they had started: most of those that place prompts heard nothing."""
         rates = {**self.TOLD, EntryId("e50"): 20_000}
-        division = _fleet_view(NARROW, rates).division(0.1)
-        told = {member.entry_id for member in division.sharers}
+        division = _fleet_view(NARROW, rates).caller_split(0.1)
+        told = {member.entry_id for member in division.caller_peers}
         self.assertEqual(told, set(rates))
 
 
