--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -56,7 +56,7 @@
         raise RefusedError(_denied(gateway, Reason.NO_ROUTE, "no such route"))
     account_id: AccountId | None = None
     priority = route.priority
-    if table.needs_key and not route.public:
+    if table.requires_key and not route.public:
         account = table.account_by_key(facts.key) if facts.key else None
         if account is None:
             raise RefusedError(_denied(gateway, Reason.BAD_KEY, "unknown key"))
@@ -92,8 +92,8 @@
         body = await request.read()
     except web.HTTPRequestEntityTooLarge:
         body = None
-    if body is None or len(body) > table.body_bytes:
-        detail = f"a body may have {table.body_bytes} bytes"
+    if body is None or len(body) > table.max_body_bytes:
+        detail = f"a body may have {table.max_body_bytes} bytes"
         raise RefusedError(did_not_run(Reason.BODY_TOO_LARGE, None, detail))
     return body
 
@@ -110,7 +110,7 @@
     if account is None or not tokens or not book.limited(account):
         return None
     table = gateway.table
-    urgent = table is not None and exchange.route.priority <= table.most_urgent
+    urgent = table is not None and exchange.route.priority <= table.top_priority
     held = await gateway.keeper.reservations.reserve(account, tokens, urgent)
     if held is not None:
         return held
@@ -157,9 +157,9 @@
         return
     assert gateway.table is not None
     service = gateway.table.services.get(exchange.service)
-    per_event = service.event_tokens if service else 1
+    per_event = service.max_event_tokens if service else 1
     # One event more than was relayed: it may have been on its way to the
     # caller when the stream ended.
     whole = exchange.response is not None
-    out = (exchange.events.events + (1 if whole else 0)) * per_event
+    out = (exchange.events.event_count + (1 if whole else 0)) * per_event
     book.commit(held, exchange.facts.input_tokens + out, time.monotonic())
--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -159,7 +159,7 @@
 ) -> AttemptResult:
     protocol = _protocol(response)
     events = exchange.events
-    events.restart()
+    events.reset()
     while True:
         try:
             data = await response.content.readany()
@@ -175,7 +175,7 @@
             sent.record_first_output(exchange.first_s)
             await _open(gateway, exchange, response)
         await _write(exchange, whole.data)
-    if events.partial or _was_reset(response, protocol):
+    if events.has_partial or _was_reset(response, protocol):
         return _spoilt("a stream ended in the middle of an event")
     if exchange.response is None:
         return _spoilt("a stream without events")
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -18,7 +18,7 @@
 from celerytrack.loop_time import loop_time
 from celerytrack.platform.http import RequestFacts
 from celerytrack.routes import Route
-from celerytrack.streams import EventCutter
+from celerytrack.streams import EventSplitter
 from celerytrack.verdict import Reason, Verdict
 
 
@@ -90,7 +90,7 @@
     choice: Choice | None = None
     may_have_run: bool = False
     response: web.StreamResponse | None = None
-    events: EventCutter = attrs.field(factory=EventCutter)
+    events: EventSplitter = attrs.field(factory=EventSplitter)
     scope: asyncio.Timeout | None = None
     _place: FingerprintPrefix | None = None
     _fingerprint: Fingerprint | None = None
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -26,7 +26,7 @@
         logging.WARNING,
         request_id=exchange.facts.request_id,
         route=exchange.route.name,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         detail=detail,
         tried=exchange.tried,
     )
@@ -61,7 +61,7 @@
         status=status,
         target_ms=round(exchange.route.target_s * 1_000),
         tried=exchange.tried,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         covered_ms=_after_ms(exchange, exchange.covered_s),
         predicted_ms=round(choice.predicted_s * 1_000),
         work_ms=round(choice.work_s * 1_000),
@@ -138,6 +138,6 @@
         reason=failure.reason.value,
         verdict=failure.verdict.value,
         detail=failure.detail,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         fingerprint=exchange.fingerprint.hex() if failure.broke else None,
     )
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -88,7 +88,7 @@
             _log,
             Event.CALLER_LEFT,
             request_id=exchange.facts.request_id,
-            events=exchange.events.events,
+            events=exchange.events.event_count,
         )
         raise asyncio.CancelledError from None
     finally:
@@ -162,7 +162,7 @@
                 answered(gateway, exchange, exchange.response.status)
                 return exchange.response
             case Success(PlainAnswer() as answer):
-                again = answer.status >= 500 and exchange.route.may_repeat
+                again = answer.status >= 500 and exchange.route.is_retry_safe
                 if not (again and _may_go_on(exchange) and budget.take()):
                     answered(gateway, exchange, answer.status)
                     return plain(gateway, answer)
@@ -182,7 +182,7 @@
         return True
     if exchange.response is not None:
         return exchange.route.resumable
-    return exchange.route.may_repeat
+    return exchange.route.is_retry_safe
 
 
 def _may_go_on(exchange: Exchange) -> bool:
--- a/src/celerytrack/gateway/share_keeper.py
+++ b/src/celerytrack/gateway/share_keeper.py
@@ -26,7 +26,7 @@
 from celerytrack.gateway.row_writer import FencedError, RestoredError, RowWriter
 from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S, KeyedTail
 from celerytrack.ids import EntryId, Zone
-from celerytrack.member import of_other_eras
+from celerytrack.member import rows_of_other_eras
 from celerytrack.members import (
     Member,
     MembershipView,
@@ -307,7 +307,7 @@
             self._eras.learn(max(others.values()), time.monotonic())
 
     def _rows_of_other_eras(self) -> dict[EntryId, Era]:
-        return of_other_eras(self.members.members().values(), self._eras.known)
+        return rows_of_other_eras(self.members.members().values(), self._eras.known)
 
     # -- the fold ----------------------------------------------------------
 
--- a/src/celerytrack/links.py
+++ b/src/celerytrack/links.py
@@ -6,17 +6,17 @@
 
 from collections.abc import Sequence
 
-UNEQUAL_TIMES = 8.0
+NARROW_LINK_FACTOR = 8.0
 """An entry whose link is this many times narrower than the widest takes callers only if
 the other entries are too few. Its share of the callers would saturate its link."""
-ABLE_SHARE = 1 / 3
+MIN_CAPACITY_SHARE = 1 / 3
 """Smallest share of the total link capacity that the remaining entries must have, so
 that their load at most triples."""
-ABLE_LEAST = 4
+MIN_ENTRIES = 4
 """Smallest number of remaining entries, so that one or two may fail."""
 
 
-def least_link_mbps(links_mbps: Sequence[float]) -> float:
+def min_caller_link_mbps(links_mbps: Sequence[float]) -> float:
     """The narrowest link with which an entry takes callers; 0 if all entries do.
 
     A few entries with wide links serve callers better than all entries would: accounts
@@ -25,7 +25,7 @@
 
     :param links_mbps: link capacity of each entry.
     """
-    least_mbps = max(links_mbps, default=0.0) / UNEQUAL_TIMES
-    wide_mbps = [mbps for mbps in links_mbps if mbps >= least_mbps]
-    has_capacity = sum(wide_mbps) >= ABLE_SHARE * sum(links_mbps)
-    return least_mbps if has_capacity and len(wide_mbps) >= ABLE_LEAST else 0.0
+    min_mbps = max(links_mbps, default=0.0) / NARROW_LINK_FACTOR
+    wide_mbps = [mbps for mbps in links_mbps if mbps >= min_mbps]
+    has_capacity = sum(wide_mbps) >= MIN_CAPACITY_SHARE * sum(links_mbps)
+    return min_mbps if has_capacity and len(wide_mbps) >= MIN_ENTRIES else 0.0
--- a/src/celerytrack/member.py
+++ b/src/celerytrack/member.py
@@ -9,7 +9,7 @@
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.prepaid import Row
 
-LONG_SILENT_S = 60.0
+GONE_AFTER_SILENCE_S = 60.0
 """An entry whose row is this much older than the newest row is gone. The limit exceeds
 what a restored copy of the log has lost and what clocks differ by."""
 
@@ -67,7 +67,7 @@
         return self.started_s + self.clock_offset_s
 
 
-def older_row(row: Member, known: Member) -> bool:
+def is_older_row(row: Member, known: Member) -> bool:
     """Whether ``known`` was written after ``row``, a row of the same entry.
 
     A log restored from an older copy holds older rows than were read before. They could
@@ -80,10 +80,10 @@
     return row.epoch < known.epoch
 
 
-def of_other_eras(rows: Iterable[Member], era: Era | None) -> dict[EntryId, Era]:
+def rows_of_other_eras(rows: Iterable[Member], era: Era | None) -> dict[EntryId, Era]:
     """The eras of the rows that were made in another era than ``era``, by entry.
 
-    Entries that have been silent for :data:`LONG_SILENT_S` are left out.
+    Entries that have been silent for :data:`GONE_AFTER_SILENCE_S` are left out.
     """
     rows = list(rows)
     newest_at_s = max((row.made_at_s for row in rows), default=0.0)
@@ -93,5 +93,5 @@
         if row.era is not None
         and era is not None
         and row.era != era
-        and newest_at_s - row.made_at_s < LONG_SILENT_S
+        and newest_at_s - row.made_at_s < GONE_AFTER_SILENCE_S
     }
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -14,8 +14,8 @@
 import attrs
 
 from celerytrack.ids import EntryId, Zone
-from celerytrack.links import least_link_mbps
-from celerytrack.member import Member, MemberState, older_row
+from celerytrack.links import min_caller_link_mbps
+from celerytrack.member import Member, MemberState, is_older_row
 from celerytrack.row_pace import beat_interval_s
 
 MISSED_HEARTBEATS = 3.5
@@ -127,7 +127,7 @@
     def fold(self, member: Member, now_s: float) -> None:
         """Apply a row that was read at ``now_s``."""
         newest = self.member(member.entry_id)
-        if newest is not None and older_row(member, newest):
+        if newest is not None and is_older_row(member, newest):
             return
         known = self._entries.setdefault(member.entry_id, _KnownEntry(member, now_s))
         known.member = member
@@ -241,14 +241,14 @@
     def _split_callers(self, now_s: float) -> CallerSplit:
         others = self.live_peers(now_s)
         links_mbps = [*(m.link_mbps for m in others), self.link_mbps]
-        least_mbps = least_link_mbps(links_mbps)
-        advertised = sum(mbps >= least_mbps for mbps in links_mbps)
+        min_mbps = min_caller_link_mbps(links_mbps)
+        advertised = sum(mbps >= min_mbps for mbps in links_mbps)
         rates = self._rates_tokens_per_s
         fleet_rate = sum(rates.values())
         busy_rate = BUSY_SHARE * fleet_rate / max(1, advertised)
 
         def has_callers(entry: EntryId, link_mbps: float) -> bool:
-            return link_mbps >= least_mbps or rates.get(entry, 0) > busy_rate
+            return link_mbps >= min_mbps or rates.get(entry, 0) > busy_rate
 
         caller_peers = tuple(m for m in others if has_callers(m.entry_id, m.link_mbps))
         caller_entries = len(caller_peers) + 1
@@ -272,8 +272,8 @@
     spread over all of them and no entry serves only a small failure domain. In a larger
     fleet, entries in the caller's own domain are preferred.
     """
-    least_mbps = least_link_mbps([m.link_mbps for m in members])
-    eligible = [m for m in members if m.link_mbps >= least_mbps]
+    min_mbps = min_caller_link_mbps([m.link_mbps for m in members])
+    eligible = [m for m in members if m.link_mbps >= min_mbps]
     shuffled = rng.sample(eligible, len(eligible))
     shuffled.sort(key=lambda m: m.zone != zone)
     return [m.front_address for m in shuffled[:MAX_ADDRESSES]]
--- a/src/celerytrack/platform/config.py
+++ b/src/celerytrack/platform/config.py
@@ -5,9 +5,9 @@
 
 from celerytrack.ids import AccountId, ServiceName
 from celerytrack.routes import (
-    DEFAULT_BODY_BYTES,
+    DEFAULT_MAX_BODY_BYTES,
     ClientAccount,
-    Repeat,
+    RetrySafety,
     Route,
     RoutingTable,
     Service,
@@ -78,7 +78,7 @@
 
 @attrs.frozen
 class _Limits:
-    bodyBytes: int = attrs.field(default=DEFAULT_BODY_BYTES, validator=v.ge(0))
+    bodyBytes: int = attrs.field(default=DEFAULT_MAX_BODY_BYTES, validator=v.ge(0))
 
 
 @attrs.frozen
@@ -107,8 +107,8 @@
         routes=tuple(map(_route, data.routes)),
         services={ServiceName(s.name): _service(s) for s in data.services},
         accounts=tuple(map(_account, data.tenants or ())),
-        needs_key=data.tenants is not None,
-        body_bytes=data.limits.bodyBytes,
+        requires_key=data.tenants is not None,
+        max_body_bytes=data.limits.bodyBytes,
     )
 
 
@@ -121,8 +121,10 @@
         host=data.host.lower(),
         prefix=data.pathPrefix,
         services=tuple((ServiceName(s.service), s.weight) for s in split),
-        repeat=(
-            Repeat.IDEMPOTENT if data.kind == "idempotent" else Repeat.AT_MOST_ONCE
+        retry_safety=(
+            RetrySafety.IDEMPOTENT
+            if data.kind == "idempotent"
+            else RetrySafety.AT_MOST_ONCE
         ),
         stream=stream,
         resumable=stream and data.streamResume,
@@ -142,7 +144,7 @@
         name=ServiceName(data.name),
         max_connections=data.connLimit,
         # Called so for the step between two events' counts of tokens.
-        event_tokens=data.engine.stride if data.engine else 1,
+        max_event_tokens=data.engine.stride if data.engine else 1,
     )
 
 
--- a/src/celerytrack/prefill.py
+++ b/src/celerytrack/prefill.py
@@ -15,23 +15,23 @@
 PREFILL_TOKENS_PER_S = 64_000.0
 """Prompt tokens that an engine prefills per second beside its other work. Differences
 between engines go into their measured slowness."""
-PAIR_S = 0.25e-9
+TOKEN_PAIR_S = 0.25e-9
 """Attention time for each pair of a prompt's tokens. It makes a prompt of 50,000 tokens
 take a third longer than the linear part alone."""
-SHORT_S = 0.1
+SHORT_PREFILL_S = 0.1
 """Longest prefill of a short prompt: two may go ahead of a third with a tight
 target."""
-MEDIUM_S = 0.4
+MEDIUM_PREFILL_S = 0.4
 """Longest prefill of a medium prompt. A longer prompt may be late at any position, and
 delays the others most."""
-PATIENT_S = 1.0
+RELAXED_TARGET_S = 1.0
 """A prompt with a target above this can wait for prompts of the next size too: a burst
 of long prompts keeps an engine busy for most of a second."""
-URGENCIES = 9
+MAX_URGENCY = 9
 """Highest urgency number; 0 is the most urgent."""
 
 
-class Size(enum.IntEnum):
+class PromptSize(enum.IntEnum):
     """Class of a prompt by its prefill time."""
 
     SHORT = 0
@@ -42,14 +42,14 @@
 def prefill_s(unread_tokens: int, prompt_tokens: int) -> float:
     """Time to prefill the last ``unread_tokens`` of a prompt."""
     pairs = unread_tokens * (prompt_tokens - unread_tokens / 2)
-    return unread_tokens / PREFILL_TOKENS_PER_S + pairs * PAIR_S
+    return unread_tokens / PREFILL_TOKENS_PER_S + pairs * TOKEN_PAIR_S
 
 
-def size_of(work_s: float) -> Size:
+def size_of(work_s: float) -> PromptSize:
     """The size class of a prompt that takes ``work_s`` to prefill."""
-    if work_s <= SHORT_S:
-        return Size.SHORT
-    return Size.MEDIUM if work_s <= MEDIUM_S else Size.LONG
+    if work_s <= SHORT_PREFILL_S:
+        return PromptSize.SHORT
+    return PromptSize.MEDIUM if work_s <= MEDIUM_PREFILL_S else PromptSize.LONG
 
 
 def urgency(priority: int, work_s: float, target_s: float) -> int:
@@ -60,8 +60,8 @@
         is put into the next size class, behind medium prompts with tight targets.
     """
     size = size_of(work_s)
-    if target_s > PATIENT_S:
-        size = Size(min(size + 1, Size.LONG))
-    ranks = URGENCIES // len(Size)
+    if target_s > RELAXED_TARGET_S:
+        size = PromptSize(min(size + 1, PromptSize.LONG))
+    ranks = MAX_URGENCY // len(PromptSize)
     rank = min(max(priority, 0), ranks - 1)
     return 1 + size * ranks + rank
--- a/src/celerytrack/routes.py
+++ b/src/celerytrack/routes.py
@@ -11,11 +11,11 @@
 
 from celerytrack.ids import AccountId, ServiceName
 
-DEFAULT_BODY_BYTES = 4 * 1024 * 1024
+DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 """Largest request body if the configuration sets no limit."""
 
 
-class Repeat(enum.Enum):
+class RetrySafety(enum.Enum):
     """Whether the requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
@@ -44,7 +44,7 @@
     host: str
     prefix: str
     services: tuple[tuple[ServiceName, float], ...]
-    repeat: Repeat
+    retry_safety: RetrySafety
     stream: bool
     resumable: bool
     timeout_s: float
@@ -55,9 +55,9 @@
     has_prompt: bool = False
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retry_safe(self) -> bool:
         """Whether a request that may have run may be sent again."""
-        return self.repeat is Repeat.IDEMPOTENT or self.resumable
+        return self.retry_safety is RetrySafety.IDEMPOTENT or self.resumable
 
 
 @attrs.frozen
@@ -65,12 +65,12 @@
     """One service: a set of endpoints that serve the same requests.
 
     :ivar max_connections: connections that one endpoint accepts from all entries.
-    :ivar event_tokens: most output tokens in one event of a model engine's stream.
+    :ivar max_event_tokens: most output tokens in one event of a model engine's stream.
     """
 
     name: ServiceName
     max_connections: int
-    event_tokens: int = 1
+    max_event_tokens: int = 1
 
 
 @attrs.frozen
@@ -92,15 +92,15 @@
     """One version of the configuration.
 
     :ivar version: grows with every change.
-    :ivar needs_key: whether requests to routes that aren't public need a key.
+    :ivar requires_key: whether requests to routes that aren't public need a key.
     """
 
     version: int
     routes: tuple[Route, ...]
     services: Mapping[ServiceName, Service]
     accounts: tuple[ClientAccount, ...]
-    needs_key: bool
-    body_bytes: int = DEFAULT_BODY_BYTES
+    requires_key: bool
+    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
     _by_host: dict[str, list[Route]] = attrs.field(init=False, eq=False, repr=False)
     _by_key: dict[str, ClientAccount] = attrs.field(init=False, eq=False, repr=False)
 
@@ -115,7 +115,7 @@
         object.__setattr__(self, "_by_key", by_key)
 
     @property
-    def most_urgent(self) -> int:
+    def top_priority(self) -> int:
         """The priority of the most urgent route whose requests have prompts."""
         priorities = (route.priority for route in self.routes if route.has_prompt)
         return min(priorities, default=0)
--- a/src/celerytrack/streams.py
+++ b/src/celerytrack/streams.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Events:
+class EventBatch:
     """Consecutive complete events.
 
     :ivar data: their bytes, unchanged.
@@ -20,26 +20,26 @@
 
 
 @attrs.define
-class EventCutter:
+class EventSplitter:
     """Buffers the bytes of a stream and returns complete events.
 
     An endpoint may stop in the middle of an event. Forwarding the partial event would
     corrupt the stream, because the next endpoint sends the event again as a whole.
 
-    :ivar events: number of events returned so far.
+    :ivar event_count: number of events returned so far.
     :ivar last_id: the id of the last returned event that has one.
     """
 
-    events: int = 0
+    event_count: int = 0
     last_id: str | None = None
     _buffer: bytes = b""
 
     @property
-    def partial(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
-    def feed(self, data: bytes) -> Events | None:
+    def feed(self, data: bytes) -> EventBatch | None:
         """Add bytes and return the events that are now complete, if any."""
         block, end, rest = (self._buffer + data).rpartition(_EVENT_END)
         if not end:
@@ -49,11 +49,11 @@
         block += end
         count = block.count(_EVENT_END)
         last_id = last_event_id(block)
-        self.events += count
+        self.event_count += count
         self.last_id = last_id or self.last_id
-        return Events(block, count, last_id)
+        return EventBatch(block, count, last_id)
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Discard the incomplete event: the stream resumes on a new connection."""
         self._buffer = b""
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -17,12 +17,12 @@
 from celerytrack.prefill import prefill_s
 from celerytrack.routes import (
     ClientAccount,
-    Repeat,
+    RetrySafety,
     Route,
     RoutingTable,
     pick_service,
 )
-from celerytrack.streams import EventCutter
+from celerytrack.streams import EventSplitter
 
 S = ServiceName("s")
 HERE, THERE = Zone("z1"), Zone("z2")
@@ -289,7 +289,7 @@
 
 def _route(prefix, host="h", services=((S, 1.0),)):
     return Route(
-        prefix, host, prefix, services, Repeat.IDEMPOTENT, False, False, 1.0, 1.0
+        prefix, host, prefix, services, RetrySafety.IDEMPOTENT, False, False, 1.0, 1.0
     )
 
 
@@ -325,7 +325,7 @@
         self.assertEqual(pick_service(_route("/", services=services), point), expected)
 
 
-class EventCutterTest(unittest.TestCase):
+class EventSplitterTest(unittest.TestCase):
     @params(
         # chunks, complete events (None: all bytes), last id, has an incomplete event
         ([b"id: 1\ndata: a\n\n"], b"id: 1\ndata: a\n\n", "1", False),
@@ -333,13 +333,15 @@
         ([b"id:7\ndata: a\n", b"\nid:8\ndata: b\n\n"], None, "8", False),
         ([b"data: no id\n\n"], b"data: no id\n\n", None, False),
     )
-    def test_only_complete_events_are_returned(self, chunks, passed, last_id, partial):
-        cutter = EventCutter()
-        batches = [cutter.feed(chunk) for chunk in chunks]
+    def test_only_complete_events_are_returned(
+        self, chunks, passed, last_id, has_partial
+    ):
+        splitter = EventSplitter()
+        batches = [splitter.feed(chunk) for chunk in chunks]
         got = b"".join(batch.data for batch in batches if batch)
         self.assertEqual(got, passed or b"".join(chunks))
-        self.assertEqual(cutter.last_id, last_id)
-        self.assertIs(cutter.partial, partial)
+        self.assertEqual(splitter.last_id, last_id)
+        self.assertIs(splitter.has_partial, has_partial)
 
     def test_an_incomplete_event_is_discarded_when_the_stream_resumes(self):
         """An event was corrupted in a resumed stream.
@@ -347,8 +349,8 @@
         An endpoint crashes in the middle of an event, and the next one sends the whole
         event again. The incomplete event was kept in front of it.
         """
-        cutter = EventCutter()
-        cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
-        cutter.restart()
-        events = cutter.feed(b"id: 2\ndata: b\n\n")
+        splitter = EventSplitter()
+        splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
+        splitter.reset()
+        events = splitter.feed(b"id: 2\ndata: b\n\n")
         self.assertEqual(events.data, b"id: 2\ndata: b\n\n")
--- a/tests/test_prefill.py
+++ b/tests/test_prefill.py
@@ -4,7 +4,7 @@
 
 from nose2.tools import params
 
-from celerytrack.prefill import Size, prefill_s, size_of, urgency
+from celerytrack.prefill import PromptSize, prefill_s, size_of, urgency
 
 
 class PrefillTest(unittest.TestCase):
@@ -91,6 +91,11 @@
 
 
 class SizeTest(unittest.TestCase):
-    @params((0.0, Size.SHORT), (0.1, Size.SHORT), (0.2, Size.MEDIUM), (0.5, Size.LONG))
+    @params(
+        (0.0, PromptSize.SHORT),
+        (0.1, PromptSize.SHORT),
+        (0.2, PromptSize.MEDIUM),
+        (0.5, PromptSize.LONG),
+    )
     def test_sizes(self, work_s, expected):
         self.assertIs(size_of(work_s), expected)
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -13,7 +13,7 @@
     age_beside_others_s,
 )
 from celerytrack.ids import AccountId, EntryId, Zone
-from celerytrack.links import UNEQUAL_TIMES, least_link_mbps
+from celerytrack.links import NARROW_LINK_FACTOR, min_caller_link_mbps
 from celerytrack.members import (
     Member,
     MembershipView,
@@ -573,18 +573,18 @@
     @params(
         # links, the least one that takes callers
         ([], 0.0),
-        ([NARROW] * 9, NARROW / UNEQUAL_TIMES),
+        ([NARROW] * 9, NARROW / NARROW_LINK_FACTOR),
         ([0.0] * 9, 0.0),
-        ([WIDE] * 6 + [NARROW] * 58, WIDE / UNEQUAL_TIMES),
+        ([WIDE] * 6 + [NARROW] * 58, WIDE / NARROW_LINK_FACTOR),
         # A few that would have to carry what twenty times as many carry now.
         ([WIDE] * 4 + [NARROW] * 200, 0.0),
         # Too few to lose one.
         ([WIDE] * 3 + [NARROW] * 10, 0.0),
         # Not that unequal.
-        ([WIDE] * 6 + [WIDE / 4] * 20, WIDE / UNEQUAL_TIMES),
+        ([WIDE] * 6 + [WIDE / 4] * 20, WIDE / NARROW_LINK_FACTOR),
     )
     def test_which_entries_take_callers(self, links_mbps, least_mbps):
-        self.assertEqual(least_link_mbps(links_mbps), least_mbps)
+        self.assertEqual(min_caller_link_mbps(links_mbps), least_mbps)
 
     @params(
         # an entry's own link, among how many it shares the callers, what all may do
