--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -22,7 +22,7 @@
 from celerytrack.replica_load import Ask, ReplicaLoad
 from celerytrack.routing import retry_after_s
 from celerytrack.settings import Account, BackendKind, Config, WorkClass
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, did_not_run, may_have_run
 
 GRANT_WAIT_S = 1.0
@@ -157,10 +157,10 @@
 
 def suspect_state_of(
     state: EntryState, admitted: AdmittedRequest, now_s: float
-) -> Standing:
+) -> SuspectState:
     """Whether the request is suspected of crashing replicas, and how strongly."""
     if not state.suspects.book:
-        return Standing.CLEAR
+        return SuspectState.CLEAR
     return state.suspects.state_of(admitted.fingerprint, admitted.work, now_s)
 
 
@@ -171,7 +171,7 @@
 
     :raises RefusedError: if replicas crashed repeatedly while they ran the request.
     """
-    if suspect_state_of(state, admitted, now_s) is Standing.SHUT_OUT:
+    if suspect_state_of(state, admitted, now_s) is SuspectState.QUARANTINED:
         raise RefusedError(
             state.suspects.quarantine_refusal(admitted.fingerprint, now_s)
         )
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -14,13 +14,13 @@
 from typing import Protocol
 
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Ending, Findings, Trial
-from celerytrack.fingerprint import Fingerprint, RequestLine, fingerprint_of, place_of
+from celerytrack.findings import Crash, Findings, Probe
+from celerytrack.fingerprint import Fingerprint, RequestHead, fingerprint_of, prefix_of
 from celerytrack.ids import AccountId, EndpointId, EntryId, ReplicaId
 from celerytrack.process_end import ENDING_KNOWN_S, has_ended
 from celerytrack.settings import WorkClass
-from celerytrack.suspect_logs import log_shut_out
-from celerytrack.suspects import Standing, SuspectBook
+from celerytrack.suspect_logs import log_quarantined
+from celerytrack.suspects import SuspectState, SuspectTracker
 from celerytrack.verdict import Reason, Refusal, did_not_run
 
 _log = logging.getLogger(__name__)
@@ -39,8 +39,8 @@
 def fingerprint(work: WorkClass, account: str, body: object) -> Fingerprint:
     """Identifies repeats of a request by its class of work, account and body."""
     raw = json.dumps(body, sort_keys=True).encode()
-    line = RequestLine("POST", "", work.name, AccountId(account), len(raw))
-    return fingerprint_of(place_of(line), raw)
+    line = RequestHead("POST", "", work.name, AccountId(account), len(raw))
+    return fingerprint_of(prefix_of(line), raw)
 
 
 class Fingerprinted(Protocol):
@@ -55,7 +55,7 @@
     """The requests that this entry suspects of crashing replicas."""
 
     def __init__(self, entry_id: EntryId) -> None:
-        self.book = SuspectBook(entry_id)
+        self.book = SuspectTracker(entry_id)
         self._suspects_at: Counter[ReplicaId] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -63,29 +63,29 @@
         """The findings for the next heartbeat."""
         if not self.book:
             return None
-        findings = self.book.record(now_s, time.time())
-        return None if findings.empty else findings
+        findings = self.book.own_findings(now_s, time.time())
+        return None if findings.is_empty else findings
 
     def merge(self, findings: Findings, now_s: float) -> None:
         """Merge the findings of a peer's heartbeat."""
-        self.book.heard(findings, True, now_s)
+        self.book.merge(findings, True, now_s)
 
     def state_of(
         self, fingerprint: Fingerprint, work: WorkClass, now_s: float
-    ) -> Standing:
+    ) -> SuspectState:
         """How strongly a request is suspected of crashing replicas."""
-        return self.book.standing(fingerprint, {work.model}, now_s)
+        return self.book.state_of(fingerprint, {work.model}, now_s)
 
     def quarantine_refusal(self, fingerprint: Fingerprint, now_s: float) -> Refusal:
         """The refusal of a request that is quarantined or probed by another entry."""
-        back_in_s = self.book.back_in_s(fingerprint, now_s)
+        back_in_s = self.book.retry_after_s(fingerprint, now_s)
         after_s = OPERATOR_LIFT_RETRY_AFTER_S if back_in_s is None else back_in_s
         detail = f"replicas ended under request {fingerprint.hex()}"
         after_s = max(after_s, TYPICAL_PROBE_S)
         return did_not_run(Reason.QUARANTINED, after_s, detail)
 
     def replicas_to_avoid(
-        self, standing: Standing, now_s: float
+        self, standing: SuspectState, now_s: float
     ) -> frozenset[ReplicaId]:
         """The replicas that a request should not be sent to.
 
@@ -94,8 +94,8 @@
         """
         if not self.book:
             return frozenset()
-        names = {ReplicaId(name) for name in self.book.endpoints_on_trial(now_s)}
-        if standing is not Standing.CLEAR:
+        names = {ReplicaId(name) for name in self.book.probed_endpoints(now_s)}
+        if standing is not SuspectState.CLEAR:
             names.update(self._suspects_at.elements())
         return frozenset(names)
 
@@ -106,16 +106,16 @@
 
         :returns: whether this entry won the claim.
         """
-        trial = Trial(fingerprint, EndpointId(replica), lasts_s)
-        if self.book.claim(trial, time.monotonic()) is None:
+        trial = Probe(fingerprint, EndpointId(replica), lasts_s)
+        if self.book.begin_probe(trial, time.monotonic()) is None:
             return False
         try:
             await asyncio.sleep(CLAIM_PROPAGATION_S)
         except asyncio.CancelledError:
             # The caller disconnected during the wait.
-            self.book.release(fingerprint)
+            self.book.cancel_probe(fingerprint)
             raise
-        return self.book.holds(fingerprint)
+        return self.book.is_probing(fingerprint)
 
     def suspect_sent(self, replica: ReplicaId) -> None:
         """Count a suspect request sent to ``replica``."""
@@ -129,21 +129,21 @@
         """Release this entry's claim on a probe of the request, if it has one; the
         probe has no result."""
         if self.book:
-            self.book.release(request.fingerprint)
+            self.book.cancel_probe(request.fingerprint)
 
     def record_success(self, request: Fingerprinted, now_s: float) -> None:
         """Clear the request: a replica answered it completely."""
         if not self.book:
             return
         fingerprint = request.fingerprint
-        cleared = self.book.forgive(fingerprint, now_s)
-        if not cleared.empty:
+        cleared = self.book.record_success(fingerprint, now_s)
+        if not cleared.is_empty:
             log_event(
                 _log,
                 Event.SUSPECT_CLEARED,
                 logging.WARNING,
                 fingerprint=fingerprint.hex(),
-                endings=[evidence.ending.endpoint_id for evidence in cleared.forgiven],
+                endings=[evidence.crash.endpoint_id for evidence in cleared.cleared],
             )
 
     def check_for_crash(
@@ -164,11 +164,11 @@
         except TimeoutError:
             ended = False
         if not ended:
-            self.book.release(fingerprint)
+            self.book.cancel_probe(fingerprint)
             return
-        ending = Ending(EndpointId(replica), at_s, model)
+        ending = Crash(EndpointId(replica), at_s, model)
         now_s = time.monotonic()
-        self.book.witnessed(ending, [fingerprint], now_s)
+        self.book.record_crash(ending, [fingerprint], now_s)
         log_event(
             _log,
             Event.ENDPOINT_ENDED,
@@ -176,6 +176,6 @@
             endpoint=replica,
             fingerprints=[fingerprint.hex()],
         )
-        suspect = self.book.suspect(fingerprint, now_s)
-        if suspect.standing is Standing.SHUT_OUT:
-            log_shut_out(_log, suspect)
+        suspect = self.book.describe(fingerprint, now_s)
+        if suspect.state is SuspectState.QUARANTINED:
+            log_quarantined(_log, suspect)
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -26,7 +26,7 @@
 from celerytrack.retries import backoff_s, may_retry
 from celerytrack.routing import Placement, predicted_s
 from celerytrack.settings import WorkClass
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
 
 _log = logging.getLogger(__name__)
@@ -140,7 +140,7 @@
         if state.attempts_deadline.has_passed(time.monotonic()):
             return Failure(history.refusal or draining_before_send())
         standing = suspect_state_of(state, admitted, time.monotonic())
-        if standing is Standing.SHUT_OUT:
+        if standing is SuspectState.QUARANTINED:
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         try:
             replica = _choose_replica(state, admitted, history, ask, standing)
@@ -148,14 +148,14 @@
             if history.refusal is not None:
                 _log_not_retried(request_id, NoRetryReason.NO_REPLICA, exc.refusal)
             return Failure(history.refusal or exc.refusal)
-        if standing is Standing.ALONE and not await state.suspects.begin_probe(
+        if standing is SuspectState.PROBE_ONLY and not await state.suspects.begin_probe(
             admitted.fingerprint, replica.replica_id, MAX_PROBE_S
         ):
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         now_s = time.time()
         first_token_s = predicted_s(replica, replica.load(now_s), ask, Placement())
         sent = replica.send(ask, first_token_s, now_s)
-        suspected = standing is not Standing.CLEAR
+        suspected = standing is not SuspectState.CLEAR
         if suspected:
             state.suspects.suspect_sent(replica.replica_id)
         try:
@@ -193,7 +193,7 @@
     admitted: AdmittedRequest,
     history: _AttemptHistory,
     ask: Ask,
-    standing: Standing,
+    standing: SuspectState,
 ) -> ReplicaLoad:
     """Choose the replica of the next attempt.
 
--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -59,7 +59,7 @@
         raise RefusedError(_not_configured(gateway, Reason.NO_ROUTE, "no such route"))
     account_id: AccountId | None = None
     priority = route.priority
-    if table.needs_key and not route.public:
+    if table.requires_key and not route.public:
         account = table.account_by_key(facts.key) if facts.key else None
         if account is None:
             raise RefusedError(_not_configured(gateway, Reason.BAD_KEY, "unknown key"))
@@ -98,8 +98,8 @@
         body = await request.read()
     except web.HTTPRequestEntityTooLarge:
         body = None
-    if body is None or len(body) > table.body_bytes:
-        detail = f"a body may have {table.body_bytes} bytes"
+    if body is None or len(body) > table.max_body_bytes:
+        detail = f"a body may have {table.max_body_bytes} bytes"
         raise RefusedError(did_not_run(Reason.BODY_TOO_LARGE, None, detail))
     return body
 
@@ -116,7 +116,7 @@
     if account is None or not tokens or not book.is_limited(account):
         return None
     table = gateway.routing_table
-    urgent = table is not None and exchange.route.priority <= table.most_urgent
+    urgent = table is not None and exchange.route.priority <= table.top_priority
     reservation = await gateway.share_sync.reservations.reserve(account, tokens, urgent)
     if reservation is not None:
         return reservation
@@ -171,11 +171,13 @@
         return
     assert gateway.routing_table is not None
     service = gateway.routing_table.services.get(exchange.service)
-    tokens_per_event = service.event_tokens if service else 1
+    tokens_per_event = service.max_event_tokens if service else 1
     # A stream is charged one event more than was relayed: that event may have been
     # in transit to the caller when the stream ended.
     streamed = exchange.response is not None
-    output_tokens = (exchange.events.events + (1 if streamed else 0)) * tokens_per_event
+    output_tokens = (
+        exchange.events.event_count + (1 if streamed else 0)
+    ) * tokens_per_event
     book.commit(
         reservation, exchange.facts.input_tokens + output_tokens, time.monotonic()
     )
--- a/src/celerytrack/gateway/crash_detector.py
+++ b/src/celerytrack/gateway/crash_detector.py
@@ -53,7 +53,7 @@
 
         A draining endpoint is not checked: it exits on its own, whatever it runs.
         """
-        if endpoint.registration.draining or endpoint.gone_at_s is not None:
+        if endpoint.registration.draining or endpoint.deregistered_at_s is not None:
             return
         interrupted = self._interrupted.get(endpoint.endpoint_id)
         if interrupted is not None:
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -6,19 +6,19 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from celerytrack.endpoint import Choice, Need
+from celerytrack.endpoint import Choice, RequestProfile
 from celerytrack.fingerprint import (
     Fingerprint,
-    Place,
-    RequestLine,
+    FingerprintPrefix,
+    RequestHead,
     fingerprint_of,
-    place_of,
+    prefix_of,
 )
 from celerytrack.ids import AccountId, EndpointId, ServiceName
 from celerytrack.loop_time import loop_time
 from celerytrack.platform.http import RequestFacts
 from celerytrack.routes import Route
-from celerytrack.streams import EventCutter
+from celerytrack.streams import EventSplitter
 from celerytrack.verdict import Reason, Verdict
 
 
@@ -93,23 +93,23 @@
     choice: Choice | None = None
     may_have_run: bool = False
     response: web.StreamResponse | None = None
-    events: EventCutter = attrs.field(factory=EventCutter)
+    events: EventSplitter = attrs.field(factory=EventSplitter)
     timeout: asyncio.Timeout | None = None
-    _place: Place | None = None
+    _place: FingerprintPrefix | None = None
     _fingerprint: Fingerprint | None = None
 
     @property
-    def place(self) -> Place:
+    def place(self) -> FingerprintPrefix:
         """The first half of the fingerprint, computed on first use."""
         if self._place is None:
-            line = RequestLine(
+            line = RequestHead(
                 method=self.request.method,
                 host=self.facts.host,
                 path=self.request.raw_path,
                 account=self.account,
                 body_bytes=len(self.body),
             )
-            self._place = place_of(line)
+            self._place = prefix_of(line)
         return self._place
 
     @property
@@ -120,9 +120,9 @@
         return self._fingerprint
 
     @property
-    def need(self) -> Need:
+    def need(self) -> RequestProfile:
         """What the request needs of an endpoint."""
-        return Need(self.service, self.facts.parts)
+        return RequestProfile(self.service, self.facts.parts)
 
     def shorten_deadline(self, at_s: float) -> None:
         """Set the deadline to ``at_s`` unless it is already earlier."""
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -5,7 +5,7 @@
 
 from celerytrack.eras import Era
 from celerytrack.events import Event, log_event
-from celerytrack.members import Member, MemberView
+from celerytrack.members import Member, MembershipView
 from celerytrack.prepaid import PrepaidBudgets
 from celerytrack.row_age import (
     age_after_power_loss_s,
@@ -51,7 +51,7 @@
         return age_s
 
     def resolve_age(
-        self, own_row: Member, members: MemberView, budgets: PrepaidBudgets
+        self, own_row: Member, members: MembershipView, budgets: PrepaidBudgets
     ) -> None:
         """Determine an age that is still unknown and free what the adopted claim
         cannot have spent.
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -28,7 +28,7 @@
         logging.WARNING,
         request_id=exchange.facts.request_id,
         route=exchange.route.name,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         detail=detail,
         tried=exchange.tried,
     )
@@ -63,7 +63,7 @@
         status=status,
         target_ms=round(exchange.route.target_s * 1_000),
         tried=exchange.tried,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         covered_ms=_since_start_ms(exchange, exchange.reserved_at_s),
         predicted_ms=round(choice.predicted_s * 1_000),
         work_ms=round(choice.work_s * 1_000),
@@ -140,6 +140,6 @@
         reason=failure.reason.value,
         verdict=failure.verdict.value,
         detail=failure.detail,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         fingerprint=exchange.fingerprint.hex() if failure.was_interrupted else None,
     )
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -51,7 +51,7 @@
 from celerytrack.loop_time import loop_time
 from celerytrack.planned_stop import Lasting, PlannedStop
 from celerytrack.prepaid import Reservation
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
 
 _log = logging.getLogger(__name__)
@@ -94,7 +94,7 @@
             _log,
             Event.CALLER_LEFT,
             request_id=exchange.facts.request_id,
-            events=exchange.events.events,
+            events=exchange.events.event_count,
         )
         raise asyncio.CancelledError from None
     finally:
@@ -106,7 +106,7 @@
 
     :raises RefusedError: if endpoints crashed repeatedly while running the request.
     """
-    if suspect_state_of(gateway, exchange, now_s) is Standing.SHUT_OUT:
+    if suspect_state_of(gateway, exchange, now_s) is SuspectState.QUARANTINED:
         raise RefusedError(quarantine_refusal(gateway, exchange, now_s))
 
 
@@ -171,7 +171,7 @@
                 record_answer(gateway, exchange, exchange.response.status)
                 return exchange.response
             case Success(BufferedAnswer() as answer):
-                retry = answer.status >= 500 and exchange.route.may_repeat
+                retry = answer.status >= 500 and exchange.route.is_retry_safe
                 if not (retry and _within_limits(exchange) and budget.take()):
                     record_answer(gateway, exchange, answer.status)
                     return make_response(gateway, answer)
@@ -192,7 +192,7 @@
         return True
     if exchange.response is not None:
         return exchange.route.resumable
-    return exchange.route.may_repeat
+    return exchange.route.is_retry_safe
 
 
 def _within_limits(exchange: Exchange) -> bool:
@@ -210,14 +210,14 @@
     if gateway.is_endpoint_view_stale(now_s):
         return Failure(_no_endpoint("what is known of endpoints is too old"))
     standing = suspect_state_of(gateway, exchange, now_s)
-    if standing is Standing.SHUT_OUT:
+    if standing is SuspectState.QUARANTINED:
         return Failure(quarantine_failure(gateway, exchange, now_s))
     chosen = choose_endpoint(gateway, exchange, standing, now_s)
     if chosen is None:
         return Failure(_no_endpoint("none has room"))
-    if standing is Standing.CLEAR:
+    if standing is SuspectState.CLEAR:
         return await _send(gateway, exchange, chosen)
-    if standing is Standing.WATCHED:
+    if standing is SuspectState.WATCHED:
         return await _send_suspect(gateway, exchange, chosen)
     return await _send_probe(gateway, exchange, chosen)
 
@@ -229,7 +229,7 @@
         return Failure(quarantine_failure(gateway, exchange, time.monotonic()))
     finish_probe = cancel_probe
     try:
-        if not gateway.endpoints.takes_work(chosen.endpoint):
+        if not gateway.endpoints.is_available(chosen.endpoint):
             return Failure(_no_endpoint("the endpoint left as it was claimed"))
         result = await _send_suspect(gateway, exchange, chosen)
         match result:
@@ -259,23 +259,23 @@
     exchange.tried.append(endpoint.endpoint_id)
     exchange.may_have_run = True
     exchange.choice = chosen
-    sent = book.send(chosen, exchange.need, now_s)
+    sent = book.record_dispatch(chosen, exchange.need, now_s)
     gateway.announce_prompt(endpoint.endpoint_id, chosen.work_s)
     try:
         result = await attempt(gateway, exchange, endpoint, sent)
     finally:
-        sent.end(time.monotonic(), not exchange.facts.parts)
+        sent.finish(time.monotonic(), not exchange.facts.parts)
     match result:
         case Success(answer):
             if answer is not None and answer.status >= 500:
-                book.failed(endpoint, False, time.monotonic())
+                book.record_failure(endpoint, False, time.monotonic())
             else:
-                book.succeeded(endpoint)
+                book.record_success(endpoint)
                 record_success(gateway, exchange)
         case Failure(failure):
             exchange.unreached += failure.address_reused or not failure.sent
             record_attempt_failure(gateway, exchange, endpoint.endpoint_id, failure)
-            book.failed(endpoint, failure.hard, time.monotonic())
+            book.record_failure(endpoint, failure.hard, time.monotonic())
             if failure.was_interrupted:
                 gateway.ended_endpoints.report_interrupted(
                     endpoint, exchange.fingerprint
@@ -283,7 +283,7 @@
             if failure.address_reused:
                 # While registrations cannot be read, the next request would also be
                 # sent there, and be refused if its route allows one attempt only.
-                book.disowned(endpoint.endpoint_id, time.monotonic())
+                book.deregister_now(endpoint.endpoint_id, time.monotonic())
             if failure.verdict is Verdict.DID_NOT_RUN:
                 exchange.may_have_run = ran_before
     return result
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -9,7 +9,7 @@
 
 from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.ids import AccountId, EntryId
-from celerytrack.members import MemberView
+from celerytrack.members import MembershipView
 from celerytrack.prepaid import PrepaidBudgets, Reservation
 
 MAX_TOKEN_WAIT_S = 0.35
@@ -62,7 +62,7 @@
     def __init__(
         self,
         budgets: PrepaidBudgets,
-        members: MemberView,
+        members: MembershipView,
         peer_client: PeerClient,
         rows: RowTask,
     ) -> None:
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -2,7 +2,7 @@
 
 It folds each row of the entries topic into the
 :class:`~celerytrack.prepaid.PrepaidBudgets` and the
-:class:`~celerytrack.members.MemberView`, and appends this entry's row, one append at
+:class:`~celerytrack.members.MembershipView`, and appends this entry's row, one append at
 a time. Appends are numbered: the store recognises one that arrives late or twice, so
 it never overwrites a later row.
 """
@@ -26,11 +26,11 @@
 from celerytrack.gateway.row_writer import FencedError, LogRestoredError, RowWriter
 from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S, KeyedTail
 from celerytrack.ids import EntryId, Zone
-from celerytrack.member import of_other_eras
+from celerytrack.member import rows_of_other_eras
 from celerytrack.members import (
     Member,
+    MembershipView,
     MemberState,
-    MemberView,
 )
 from celerytrack.platform.log_format import KeyedRecord
 from celerytrack.platform.rows import RowError, decode_member, encode_member
@@ -74,7 +74,7 @@
         eras: EraTracker | None = None,
     ) -> None:
         self.budgets = PrepaidBudgets(entry_id)
-        self.members = MemberView(entry_id, link_mbps)
+        self.members = MembershipView(entry_id, link_mbps)
         self._pace = RowRateLimiter()
         self.state = MemberState.SERVING
         self.started = False
@@ -146,9 +146,9 @@
                 await self._refence()
                 self._row_due = True
             now_s = time.monotonic()
-            division = self.members.division(now_s)
-            entries = division.allowances
-            urgent = self._plan(division.parts, now_s)
+            division = self.members.caller_split(now_s)
+            entries = division.rate_limit_shares
+            urgent = self._plan(division.account_shares, now_s)
             interval_s = heartbeat_interval_s(entries)
             if urgent or self._row_due or now_s - written_s >= interval_s:
                 self._row_due = False
@@ -210,7 +210,7 @@
         era = self._eras.known
         if era is None or (last is not None and last.era in (None, era)):
             return
-        others = self.members.live(time.monotonic())[:MAX_RECALL_PEERS]
+        others = self.members.live_peers(time.monotonic())[:MAX_RECALL_PEERS]
         asked = (
             self._peer_client.fetch_row(m.peer_address, self._entry_id) for m in others
         )
@@ -267,7 +267,7 @@
                 raise LogRestoredError
         self._append_started_s = None
         self._update_row_time(time.monotonic() - now_s)
-        self.members.read_ok(time.monotonic())
+        self.members.record_read(time.monotonic())
         self.budgets.confirm_row()
         self._rows_folded = self._rows_made
         self._previous_row.resolve_age(member, self.members, self.budgets)
@@ -285,7 +285,7 @@
 
     def _on_era_change(self, change: EraChange) -> None:
         """Hold claims at once: what other tasks read next is from the backup."""
-        alive = self.members.lately_written()
+        alive = self.members.recent_writers()
         if not self.started:
             alive = set(self._rows_of_other_eras())
         awaited = alive - {self._entry_id}
@@ -320,13 +320,13 @@
             self._eras.observe_stored(max(others.values()), time.monotonic())
 
     def _rows_of_other_eras(self) -> dict[EntryId, Era]:
-        return of_other_eras(self.members.members().values(), self._eras.known)
+        return rows_of_other_eras(self.members.members().values(), self._eras.known)
 
     # -- the fold ----------------------------------------------------------
 
     def _apply_record(self, record: KeyedRecord) -> None:
         if record.value is None:
-            self.members.dropped(EntryId(record.key))
+            self.members.remove(EntryId(record.key))
             self.budgets.fold(EntryId(record.key), {})
             return
         try:
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -9,10 +9,10 @@
 from cachetools import LRUCache
 
 from celerytrack.durations import Durations
-from celerytrack.endpoints import EndpointBook
+from celerytrack.endpoints import EndpointPool
 from celerytrack.eras import EraChange, EraTracker
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Ending, Findings
+from celerytrack.findings import Crash, Findings
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.gateway.connections import EndpointConnections
 from celerytrack.gateway.crash_detector import CrashDetector, CrashedEndpoint
@@ -35,8 +35,8 @@
 from celerytrack.platform.store import StoreClient
 from celerytrack.retries import RetryBudget
 from celerytrack.routes import RoutingTable
-from celerytrack.suspect_logs import log_shut_out
-from celerytrack.suspects import MOST_SUSPECTS, Standing
+from celerytrack.suspect_logs import log_quarantined
+from celerytrack.suspects import MAX_SUSPECTS, SuspectState
 
 _log = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
             settings.link_mbps,
             self.eras,
         )
-        self.endpoints = EndpointBook(settings.zone, self.rng)
+        self.endpoints = EndpointPool(settings.zone, self.rng)
         self.endpoints_known = False
         self.peer_messenger = PeerMessenger(self._on_peer_message)
         self.routing_table: RoutingTable | None = None
@@ -102,7 +102,7 @@
         self._retry_budgets: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
         self.ended_endpoints = CrashDetector(
-            self.endpoints.superseded, self._on_endpoint_crash
+            self.endpoints.is_superseded, self._on_endpoint_crash
         )
         self.suspects = SuspectSync(
             self.store,
@@ -113,8 +113,8 @@
             self._log_quarantined,
         )
         self.suspects_in_flight: collections.Counter[EndpointId] = collections.Counter()
-        self._logged_quarantines: LRUCache[Fingerprint, frozenset[Ending]] = LRUCache(
-            MOST_SUSPECTS
+        self._logged_quarantines: LRUCache[Fingerprint, frozenset[Crash]] = LRUCache(
+            MAX_SUSPECTS
         )
 
     @property
@@ -162,7 +162,7 @@
         if not self.share_sync.started:
             # What this process has read so far may be from the backup.
             self.config_known_at_s = float("-inf")
-        self.endpoints.restored()
+        self.endpoints.on_log_restored()
 
     def _on_endpoint_crash(self, ended: CrashedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
@@ -175,59 +175,63 @@
         )
         now_s = time.monotonic()
         registration = ended.endpoint.registration
-        self.endpoints.ended(registration.endpoint_id, now_s)
-        ending = Ending(
+        self.endpoints.mark_crashed(registration.endpoint_id, now_s)
+        ending = Crash(
             registration.endpoint_id, registration.born_ms, registration.build
         )
-        found = self.suspects.tracker.witnessed(ending, ended.interrupted, now_s)
+        found = self.suspects.tracker.record_crash(ending, ended.interrupted, now_s)
         self.suspects.publish(found)
         self._log_quarantined(found)
 
     def _send_findings(self, findings: Findings) -> None:
-        members = self.share_sync.members.live(time.monotonic())
+        members = self.share_sync.members.live_peers(time.monotonic())
         self.suspects.entry_count = len(members) + 1
         addresses = [member.peer_address for member in members]
         self.peer_messenger.send_findings(addresses, findings)
 
     def _on_findings(self, findings: Findings) -> None:
         now_s = time.monotonic()
-        for evidence in findings.seen:
-            self.endpoints.ended(evidence.ending.endpoint_id, now_s)
+        for evidence in findings.evidence:
+            self.endpoints.mark_crashed(evidence.crash.endpoint_id, now_s)
         self.suspects.receive(findings)
 
     def _log_quarantined(self, findings: Findings) -> None:
         """Log newly quarantined requests, once for the same set of crashes."""
         now_s = time.monotonic()
-        for fingerprint in {evidence.fingerprint for evidence in findings.seen}:
-            suspect = self.suspects.tracker.suspect(fingerprint, now_s)
-            if suspect.standing is not Standing.SHUT_OUT:
+        for fingerprint in {evidence.fingerprint for evidence in findings.evidence}:
+            suspect = self.suspects.tracker.describe(fingerprint, now_s)
+            if suspect.state is not SuspectState.QUARANTINED:
                 continue
-            endings = frozenset(suspect.endings)
+            endings = frozenset(suspect.crashes)
             if self._logged_quarantines.get(fingerprint) == endings:
                 continue
             self._logged_quarantines[fingerprint] = endings
-            log_shut_out(_log, suspect)
+            log_quarantined(_log, suspect)
 
     def update_suspect_metrics(self) -> None:
         """Set the gauges of requests under suspicion."""
-        suspects = self.suspects.tracker.suspects(time.monotonic())
-        counts = collections.Counter(suspect.standing for suspect in suspects)
-        for standing in (Standing.WATCHED, Standing.ALONE, Standing.SHUT_OUT):
+        suspects = self.suspects.tracker.list_suspects(time.monotonic())
+        counts = collections.Counter(suspect.state for suspect in suspects)
+        for standing in (
+            SuspectState.WATCHED,
+            SuspectState.PROBE_ONLY,
+            SuspectState.QUARANTINED,
+        ):
             self.telemetry.suspects.labels(standing.value).set(counts[standing])
 
     def _on_peer_message(self, message: PeerMessage) -> None:
         match message:
             case LongPromptMessage(endpoint_id, work_s):
-                self.endpoints.note(endpoint_id, work_s, time.monotonic())
+                self.endpoints.add_peer_prefill(endpoint_id, work_s, time.monotonic())
             case LeavingMessage(entry_id, started_s):
-                self.share_sync.members.leaving(entry_id, started_s)
+                self.share_sync.members.mark_leaving(entry_id, started_s)
                 log_event(_log, Event.PEER_LEAVING, entry=entry_id)
             case Findings():
                 self._on_findings(message)
 
     def announce_leaving(self) -> None:
         """Announce the planned stop to the other entries, which send callers here."""
-        members = self.share_sync.members.live(time.monotonic())
+        members = self.share_sync.members.live_peers(time.monotonic())
         addresses = [member.peer_address for member in members]
         self.peer_messenger.send_leaving(
             addresses, LeavingMessage(self.entry_id, self.started_s)
@@ -242,22 +246,25 @@
         """
         if work_s < MIN_PROMPT_WORK_S:
             return
-        division = self.share_sync.members.division(time.monotonic())
-        addresses = [member.peer_address for member in division.sharers]
+        division = self.share_sync.members.caller_split(time.monotonic())
+        addresses = [member.peer_address for member in division.caller_peers]
         self.peer_messenger.send_long_prompt(
             addresses, LongPromptMessage(endpoint_id, work_s)
         )
 
     def fleet_load_ratio(self, now_s: float) -> float:
         """Load of the fleet as a multiple of this entry's load."""
-        return self.share_sync.members.division(now_s).load_times
+        return self.share_sync.members.caller_split(now_s).fleet_load_ratio
 
     def retry_budget(self, service: ServiceName, now_s: float) -> RetryBudget:
         """The retry budget for ``service``."""
         budget = self._retry_budgets.get(service)
         if budget is None:
             share = RETRY_SHARE * self.settings.retry_slack / 2
-            burst = max(1.0, share / self.share_sync.members.division(now_s).allowances)
+            burst = max(
+                1.0,
+                share / self.share_sync.members.caller_split(now_s).rate_limit_shares,
+            )
             budget = RetryBudget(self.settings.retry_ratio * RETRY_SHARE, burst)
             self._retry_budgets[service] = budget
         return budget
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -14,7 +14,7 @@
 
 from celerytrack.eras import EraTracker
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Findings, Trial
+from celerytrack.findings import Findings, Probe
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S, KeyedTail
@@ -28,7 +28,7 @@
 )
 from celerytrack.platform.topics import SUSPECTS_TOPIC
 from celerytrack.routing import rendezvous
-from celerytrack.suspects import SuspectBook
+from celerytrack.suspects import SuspectTracker
 
 _log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
         broadcast: Callable[[Findings], None],
         on_change: Callable[[Findings], None],
     ) -> None:
-        self.tracker = SuspectBook(entry_id)
+        self.tracker = SuspectTracker(entry_id)
         self.loaded = False
         self.entry_count = 1
         self._store = store
@@ -94,17 +94,17 @@
 
     def publish(self, findings: Findings) -> None:
         """Send findings to the other entries in a note and through the log."""
-        if findings.empty:
+        if findings.is_empty:
             return
         self._broadcast(findings)
         self._schedule_write()
 
     def receive(self, findings: Findings) -> None:
         """Merge the findings in a note of another entry."""
-        self.tracker.heard(findings, False, time.monotonic())
+        self.tracker.merge(findings, False, time.monotonic())
         self._on_change(findings)
 
-    async def begin_probe(self, trial: Trial, others: Sequence[EntryId]) -> bool:
+    async def begin_probe(self, trial: Probe, others: Sequence[EntryId]) -> bool:
         """Begin an isolated trial of a request.
 
         While the log accepts no records, some entries may not learn of the trial. Then
@@ -114,7 +114,7 @@
         :param others: the other live entries.
         :return: whether this entry may run the trial.
         """
-        findings = self.tracker.claim(trial, time.monotonic())
+        findings = self.tracker.begin_probe(trial, time.monotonic())
         if findings is None:
             return False
         self.publish(findings)
@@ -122,12 +122,12 @@
             logged = self._log_writable and await self._wait_logged(PUBLISH_TIMEOUT_S)
         except asyncio.CancelledError:
             # The caller has disconnected, or the deadline has passed.
-            self.publish(self.tracker.release(trial.fingerprint))
+            self.publish(self.tracker.cancel_probe(trial.fingerprint))
             raise
         allowed = logged or self._is_preferred(trial.fingerprint, others)
-        if allowed and self.tracker.holds(trial.fingerprint):
+        if allowed and self.tracker.is_probing(trial.fingerprint):
             return True
-        self.publish(self.tracker.release(trial.fingerprint))
+        self.publish(self.tracker.cancel_probe(trial.fingerprint))
         return False
 
     def _is_preferred(
@@ -169,8 +169,8 @@
             )
 
     def _encode_record(self) -> bytes:
-        record = self.tracker.record(time.monotonic(), time.time())
-        return b"" if record.empty else encode_findings(record)
+        record = self.tracker.own_findings(time.monotonic(), time.time())
+        return b"" if record.is_empty else encode_findings(record)
 
     async def _append(self, value: bytes) -> None:
         """Append ``value`` as this entry's record, retrying until the store answers."""
@@ -224,9 +224,9 @@
         now_s = time.monotonic()
         if is_own:
             self._logged_value = value
-            self.tracker.adopt(findings, now_s)
+            self.tracker.restore_own(findings, now_s)
         else:
-            self.tracker.heard(findings, True, now_s)
+            self.tracker.merge(findings, True, now_s)
         self._on_change(findings)
 
     def _check_own_record(self, value: bytes) -> None:
--- a/src/celerytrack/suspect_logs.py
+++ b/src/celerytrack/suspect_logs.py
@@ -1,4 +1,4 @@
-"""Log lines on requests that end endpoints, the same of both interfaces."""
+"""Log lines about requests that crash endpoints, shared by both interfaces."""
 
 import logging
 
@@ -6,13 +6,13 @@
 from celerytrack.suspects import Suspect
 
 
-def log_shut_out(logger: logging.Logger, suspect: Suspect) -> None:
-    """Say that no endpoint gets a request, since when endings count and till when."""
+def log_quarantined(logger: logging.Logger, suspect: Suspect) -> None:
+    """Log that a request is quarantined, after which crashes and for how long."""
     log_event(
         logger,
         Event.SUSPECT_SHUT_OUT,
         logging.WARNING,
         fingerprint=suspect.fingerprint.hex(),
-        endings=[ending.endpoint_id for ending in suspect.endings],
-        free_in_s=suspect.free_in_s,
+        endings=[ending.endpoint_id for ending in suspect.crashes],
+        free_in_s=suspect.quarantine_left_s,
     )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -238,7 +238,7 @@
                 record = other.registration(zone="far")
                 fleet.log.put(ENDPOINTS_TOPIC, other.name, record)
                 known = fleet.gateways[0].endpoints
-                await fleet.wait_until(lambda: len(known.ids()) == 2)
+                await fleet.wait_until(lambda: len(known.registered_ids()) == 2)
             status, headers, body = await fleet.ask("/plain/x")
             self.assertEqual(json.loads(body)["error"]["verdict"], "may_have_run")
             self.assertEqual(status, 502)
@@ -279,7 +279,7 @@
             await fleet.wait_until(
                 lambda: (
                     gateway.routing_table.version == 2
-                    and len(gateway.endpoints.ids()) == 2
+                    and len(gateway.endpoints.registered_ids()) == 2
                 )
             )
             for i in range(6):
@@ -536,12 +536,12 @@
             for raw in (b"\xff", b"[" * 100_000, first.registration(state="asleep")):
                 fleet.log.put(ENDPOINTS_TOPIC, "i-1", raw)
             fleet.log.put(ENDPOINTS_TOPIC, "i-3", b"{}")
-            await fleet.wait_until(lambda: book.ids() == ["i-2"])
+            await fleet.wait_until(lambda: book.registered_ids() == ["i-2"])
             for i in range(6):
                 await fleet.ask("/plain/x", f"r{i}")
             self.assertEqual((len(first.seen), len(second.seen)), (0, 6))
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first.registration())
-            await fleet.wait_until(lambda: set(book.ids()) == {"i-1", "i-2"})
+            await fleet.wait_until(lambda: set(book.registered_ids()) == {"i-1", "i-2"})
 
     async def test_nor_where_its_service_has_no_other(self):
         """Symptom: for 1.5 s after its record was none, the only endpoint of a
@@ -555,7 +555,7 @@
         async with Fleet(only) as fleet:
             book = fleet.gateways[0].endpoints
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", b"{}")
-            await fleet.wait_until(lambda: book.ids() == [])
+            await fleet.wait_until(lambda: book.registered_ids() == [])
             status, _, _ = await fleet.ask("/plain/x")
             self.assertEqual((status, len(only.seen)), (503, 0))
 
@@ -568,7 +568,9 @@
 
         async with _fleet(slow, gateways=2) as fleet:
             leaving, other = fleet.gateways
-            await fleet.wait_until(lambda: len(other.share_sync.members.live(1e9)) == 1)
+            await fleet.wait_until(
+                lambda: len(other.share_sync.members.live_peers(1e9)) == 1
+            )
             asked = asyncio.create_task(fleet.ask("/once/x"))
             await fleet.wait_until(lambda: _runs(fleet) == 1)
             fleet.servers[0].stop()
@@ -577,7 +579,7 @@
             late = await fleet.ask("/plain/late", "r2")
             self.assertEqual((late[0], late[1].get("Connection")), (200, "close"))
             await fleet.wait_until(
-                lambda: not other.share_sync.members.live(1e9),
+                lambda: not other.share_sync.members.live_peers(1e9),
             )
             address = other.settings.directory_address
             url = f"http://{address}/resolve?name={HOST}&zone=z"
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -10,7 +10,7 @@
 from celerytrack.entry.peers import Heartbeat
 from celerytrack.entry.state import EntryState
 from celerytrack.entry.suspects import EntrySuspects
-from celerytrack.findings import Findings, Trial
+from celerytrack.findings import Findings, Probe
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.ids import EndpointId, EntryId, ReplicaId
 from celerytrack.load.mix import MIXES
@@ -66,24 +66,24 @@
         suspects = EntrySuspects(EntryId("e1"))
         claim = asyncio.create_task(suspects.begin_probe(KNOWN, ReplicaId("r"), 60.0))
         await asyncio.sleep(0)
-        self.assertTrue(suspects.book.holds(KNOWN))
+        self.assertTrue(suspects.book.is_probing(KNOWN))
         claim.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await claim
-        self.assertFalse(suspects.book.holds(KNOWN))
+        self.assertFalse(suspects.book.is_probing(KNOWN))
 
     def test_a_heartbeat_without_findings_ends_the_probes_of_its_entry(self) -> None:
         """Guards against a probe without a result that blocks the request for a
         minute."""
         state = EntryState(load_json(FLEET_JSON, FleetSettings), "entry-1")
         peer = EntryId("entry-2")
-        trial = Trial(KNOWN, EndpointId("r"), 60.0)
-        heartbeat = Heartbeat(peer, "b", 1, False, {}, Findings(peer, trials=(trial,)))
+        trial = Probe(KNOWN, EndpointId("r"), 60.0)
+        heartbeat = Heartbeat(peer, "b", 1, False, {}, Findings(peer, probes=(trial,)))
         state._apply_heartbeat(heartbeat)
         now_s = time.monotonic()
-        self.assertEqual(state.suspects.book.endpoints_on_trial(now_s), {"r"})
+        self.assertEqual(state.suspects.book.probed_endpoints(now_s), {"r"})
         state._apply_heartbeat(attrs.evolve(heartbeat, seq=2, findings=None))
-        self.assertEqual(state.suspects.book.endpoints_on_trial(now_s), set())
+        self.assertEqual(state.suspects.book.probed_endpoints(now_s), set())
         state.link.close()
 
 
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -214,17 +214,19 @@
             numbers = {"born": 1, "sequence": 1}
             log.put(ENDPOINTS_TOPIC, "left", left.registration(**numbers))
             await fleet.wait_until(
-                lambda: set(gateway.endpoints.ids()) == {"a", "left"}
+                lambda: set(gateway.endpoints.registered_ids()) == {"a", "left"}
             )
             backup = log.copy()
             log.put(ENDPOINTS_TOPIC, "left", b"")
             log.put(ENDPOINTS_TOPIC, "late", late.registration(**numbers))
             await fleet.wait_until(
-                lambda: set(gateway.endpoints.ids()) == {"a", "late"}
+                lambda: set(gateway.endpoints.registered_ids()) == {"a", "late"}
             )
             log.restore(backup)
             deadline_s = time.monotonic() + 1.5
             while time.monotonic() < deadline_s:
-                self.assertEqual(set(gateway.endpoints.ids()), {"a", "late"})
+                self.assertEqual(set(gateway.endpoints.registered_ids()), {"a", "late"})
                 await asyncio.sleep(0.05)
-            await fleet.wait_until(lambda: set(gateway.endpoints.ids()) == {"a"}, 3.0)
+            await fleet.wait_until(
+                lambda: set(gateway.endpoints.registered_ids()) == {"a"}, 3.0
+            )
