--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -2,9 +2,9 @@
 
 It folds each row of the entries topic into the
 :class:`~celerytrack.prepaid.PrepaidBudgets` and the
-:class:`~celerytrack.members.MembershipView`, and appends this entry's row, one append at
-a time. Appends are numbered: the store recognises one that arrives late or twice, so
-it never overwrites a later row.
+:class:`~celerytrack.members.MembershipView`, and appends this entry's row, one append
+at a time. Appends are numbered: the store recognises one that arrives late or twice,
+so it never overwrites a later row.
 """
 
 import asyncio
