--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -22,7 +22,7 @@
     encode_findings,
 )
 from celerytrack.platform.topics import SUSPECTS_TOPIC
-from celerytrack.suspects import Suspect, SuspectBook
+from celerytrack.suspects import Suspect, SuspectTracker
 
 OPERATOR = EntryId("operator")
 """The key of the operators' own record."""
@@ -42,7 +42,7 @@
     """
 
     def __init__(self) -> None:
-        self.book = SuspectBook(OPERATOR)
+        self.book = SuspectTracker(OPERATOR)
         self.own = Findings(OPERATOR)
         self.since_s: dict[Fingerprint, int] = {}
 
@@ -54,8 +54,10 @@
             return
         if key == OPERATOR:
             self.own = findings
-        self.book.heard(findings, True, now_s)
-        for evidence, at_s in zip(findings.seen, findings.seen_at_s, strict=True):
+        self.book.merge(findings, True, now_s)
+        for evidence, at_s in zip(
+            findings.evidence, findings.observed_at_s, strict=True
+        ):
             known_s = self.since_s.get(evidence.fingerprint, at_s)
             self.since_s[evidence.fingerprint] = min(known_s, at_s)
 
@@ -66,14 +68,14 @@
         """
         found = [
             suspect.fingerprint
-            for suspect in self.book.suspects(now_s)
+            for suspect in self.book.list_suspects(now_s)
             if suspect.fingerprint.hex().startswith(prefix.lower())
         ]
         if len(found) != 1:
             raise SuspectsError(f"{len(found)} requests begin with {prefix!r}")
         told = self.book.lift(found[0], now_s)
-        forgiven = (*told.forgiven, *self.own.forgiven)
-        return Findings(OPERATOR, forgiven=forgiven[:MOST_ITEMS])
+        forgiven = (*told.cleared, *self.own.cleared)
+        return Findings(OPERATOR, cleared=forgiven[:MOST_ITEMS])
 
 
 async def read_suspects(store: StoreClient) -> OperatorView:
@@ -113,17 +115,19 @@
 
 def suspect_rows(view: OperatorView, now_s: float) -> list[dict[str, object]]:
     """The requests under suspicion for people and programs."""
-    return [_row(s, view.since_s[s.fingerprint]) for s in view.book.suspects(now_s)]
+    return [
+        _row(s, view.since_s[s.fingerprint]) for s in view.book.list_suspects(now_s)
+    ]
 
 
 def _row(suspect: Suspect, since_s: int) -> dict[str, object]:
     since = datetime.datetime.fromtimestamp(since_s, datetime.UTC)
     return {
         "fingerprint": suspect.fingerprint.hex(),
-        "standing": suspect.standing.value,
+        "standing": suspect.state.value,
         "since": since.isoformat(timespec="seconds"),
         "endings": [
-            {"endpoint": e.endpoint_id, "build": e.build} for e in suspect.endings
+            {"endpoint": e.endpoint_id, "build": e.build} for e in suspect.crashes
         ],
     }
 
@@ -181,5 +185,5 @@
         except SuspectsError as exc:
             self.line_error(f"<error>{exc}</error>")
             return 3
-        self.line(f"lifted {findings.forgiven[0].fingerprint.hex()}")
+        self.line(f"lifted {findings.cleared[0].fingerprint.hex()}")
         return 0
--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -6,7 +6,7 @@
 
 from celerytrack.gateway.exchange import Exchange
 from celerytrack.gateway.refusals import RefusedError
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import AccountId
 from celerytrack.platform.http import RequestError, decode_request
@@ -41,7 +41,7 @@
 
     :raises RefusedError: if the request is invalid or cannot be admitted.
     """
-    table = gateway.table
+    table = gateway.routing_table
     if table is None or not gateway.endpoints_known or not gateway.suspects.loaded:
         detail = "no configuration read yet"
         raise RefusedError(
@@ -53,13 +53,13 @@
         raise RefusedError(did_not_run(Reason.BAD_REQUEST, None, str(exc))) from None
     body = await _read_body(request, table)
     # The configuration may have changed while the body was read; the newest decides.
-    table = gateway.table or table
+    table = gateway.routing_table or table
     route = table.match(facts.host, request.raw_path.split("?", 1)[0])
     if route is None:
         raise RefusedError(_not_configured(gateway, Reason.NO_ROUTE, "no such route"))
     account_id: AccountId | None = None
     priority = route.priority
-    if table.needs_key and not route.public:
+    if table.requires_key and not route.public:
         account = table.account_by_key(facts.key) if facts.key else None
         if account is None:
             raise RefusedError(_not_configured(gateway, Reason.BAD_KEY, "unknown key"))
@@ -98,8 +98,8 @@
         body = await request.read()
     except web.HTTPRequestEntityTooLarge:
         body = None
-    if body is None or len(body) > table.body_bytes:
-        detail = f"a body may have {table.body_bytes} bytes"
+    if body is None or len(body) > table.max_body_bytes:
+        detail = f"a body may have {table.max_body_bytes} bytes"
         raise RefusedError(did_not_run(Reason.BODY_TOO_LARGE, None, detail))
     return body
 
@@ -112,23 +112,23 @@
     """
     facts, account = exchange.facts, exchange.account
     tokens = facts.input_tokens + facts.output_tokens
-    book = gateway.keeper.book
-    if account is None or not tokens or not book.limited(account):
+    book = gateway.share_sync.budgets
+    if account is None or not tokens or not book.is_limited(account):
         return None
-    table = gateway.table
-    urgent = table is not None and exchange.route.priority <= table.most_urgent
-    reservation = await gateway.keeper.reservations.reserve(account, tokens, urgent)
+    table = gateway.routing_table
+    urgent = table is not None and exchange.route.priority <= table.top_priority
+    reservation = await gateway.share_sync.reservations.reserve(account, tokens, urgent)
     if reservation is not None:
         return reservation
     now_s = time.monotonic()
     total_known = gateway.may_deny(now_s)
     raise RefusedError(
-        insufficient_tokens(gateway.keeper, account, tokens, total_known, now_s)
+        insufficient_tokens(gateway.share_sync, account, tokens, total_known, now_s)
     )
 
 
 def insufficient_tokens(
-    keeper: ShareKeeper,
+    keeper: ShareSync,
     account: AccountId,
     tokens: int,
     total_known: bool,
@@ -143,11 +143,11 @@
     :param total_known: whether the known total is up to date, so that no top-up can
         have been missed.
     """
-    book = keeper.book
-    if total_known and book.exhausted(account, tokens):
+    book = keeper.budgets
+    if total_known and book.is_exhausted(account, tokens):
         detail = f"{tokens} tokens do not fit what is left"
         return did_not_run(Reason.BUDGET_EXHAUSTED, None, detail)
-    detail = f"{tokens} tokens, {book.left_tokens(account, now_s)} in hand here"
+    detail = f"{tokens} tokens, {book.available_tokens(account, now_s)} in hand here"
     retry_after_s = NO_TOKENS_RETRY_AFTER_S
     if not keeper.reachable:
         free_s = book.free_in_s(account, tokens, now_s)
@@ -165,17 +165,19 @@
     """Charge the tokens used, or free the whole reservation if nothing ran."""
     if reservation is None:
         return
-    book = gateway.keeper.book
+    book = gateway.share_sync.budgets
     if not exchange.may_have_run:
-        book.unreserve(reservation)
+        book.release(reservation)
         return
-    assert gateway.table is not None
-    service = gateway.table.services.get(exchange.service)
-    tokens_per_event = service.event_tokens if service else 1
+    assert gateway.routing_table is not None
+    service = gateway.routing_table.services.get(exchange.service)
+    tokens_per_event = service.max_event_tokens if service else 1
     # A stream is charged one event more than was relayed: that event may have been
     # in transit to the caller when the stream ended.
     streamed = exchange.response is not None
-    output_tokens = (exchange.events.events + (1 if streamed else 0)) * tokens_per_event
+    output_tokens = (
+        exchange.events.event_count + (1 if streamed else 0)
+    ) * tokens_per_event
     book.commit(
         reservation, exchange.facts.input_tokens + output_tokens, time.monotonic()
     )
--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from returns.result import Failure, Result, Success
 
-from celerytrack.endpoint import Endpoint, Sent
+from celerytrack.endpoint import Dispatch, Endpoint
 from celerytrack.gateway.connections import EndpointGoneError, IncarnationConnections
 from celerytrack.gateway.exchange import AttemptFailure, BufferedAnswer, Exchange
 from celerytrack.gateway.state import Gateway
@@ -35,7 +35,7 @@
 
 
 async def attempt(
-    gateway: Gateway, exchange: Exchange, endpoint: Endpoint, sent: Sent
+    gateway: Gateway, exchange: Exchange, endpoint: Endpoint, sent: Dispatch
 ) -> AttemptResult:
     """Send ``exchange`` to ``endpoint`` and wait for its answer.
 
@@ -63,7 +63,7 @@
 async def _send(
     gateway: Gateway,
     exchange: Exchange,
-    sent: Sent,
+    sent: Dispatch,
     connections: IncarnationConnections,
     url: yarl.URL,
     envelope: Envelope,
@@ -106,7 +106,10 @@
 
 
 async def _handle_response(
-    gateway: Gateway, exchange: Exchange, sent: Sent, response: aiohttp.ClientResponse
+    gateway: Gateway,
+    exchange: Exchange,
+    sent: Dispatch,
+    response: aiohttp.ClientResponse,
 ) -> AttemptResult:
     facts = decode_answer(response.status, response.headers)
     if facts.request_id not in (None, exchange.facts.request_id):
@@ -133,7 +136,9 @@
     return facts.sealed and facts.request_id is not None
 
 
-async def _read_answer(sent: Sent, response: aiohttp.ClientResponse) -> AttemptResult:
+async def _read_answer(
+    sent: Dispatch, response: aiohttp.ClientResponse
+) -> AttemptResult:
     protocol = _protocol(response)
     try:
         body = await response.read()
@@ -141,17 +146,20 @@
         return _connection_failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
     if _was_reset(response, protocol):
         return _unusable_answer("an answer without length was reset")
-    sent.answered(time.monotonic())
+    sent.record_first_output(time.monotonic())
     headers = returned_headers(response.headers)
     return Success(BufferedAnswer(response.status, headers, body))
 
 
 async def _relay(
-    gateway: Gateway, exchange: Exchange, sent: Sent, response: aiohttp.ClientResponse
+    gateway: Gateway,
+    exchange: Exchange,
+    sent: Dispatch,
+    response: aiohttp.ClientResponse,
 ) -> AttemptResult:
     protocol = _protocol(response)
     events = exchange.events
-    events.restart()
+    events.reset()
     while True:
         try:
             data = await response.content.readany()
@@ -164,10 +172,10 @@
             continue
         if exchange.response is None:
             exchange.first_data_at_s = time.monotonic()
-            sent.answered(exchange.first_data_at_s)
+            sent.record_first_output(exchange.first_data_at_s)
             await _start_stream(gateway, exchange, response)
         await _write(exchange, received.data)
-    if events.partial or _was_reset(response, protocol):
+    if events.has_partial or _was_reset(response, protocol):
         return _unusable_answer("a stream ended in the middle of an event")
     if exchange.response is None:
         return _unusable_answer("a stream without events")
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -28,7 +28,7 @@
         logging.WARNING,
         request_id=exchange.facts.request_id,
         route=exchange.route.name,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         detail=detail,
         tried=exchange.tried,
     )
@@ -63,7 +63,7 @@
         status=status,
         target_ms=round(exchange.route.target_s * 1_000),
         tried=exchange.tried,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         covered_ms=_since_start_ms(exchange, exchange.reserved_at_s),
         predicted_ms=round(choice.predicted_s * 1_000),
         work_ms=round(choice.work_s * 1_000),
@@ -109,9 +109,9 @@
         detail=refusal.detail,
         tried=exchange.tried if exchange else [],
         account=exchange.account if exchange else None,
-        rows_age_ms=_age_ms(gateway.keeper.members.read_age_s(time.monotonic())),
+        rows_age_ms=_age_ms(gateway.share_sync.members.read_age_s(time.monotonic())),
         config_age_ms=_age_ms(gateway.config_age_s(time.monotonic())),
-        config_version=gateway.table.version if gateway.table else None,
+        config_version=gateway.routing_table.version if gateway.routing_table else None,
     )
     count_outcome(gateway, exchange, refusal.reason.value)
     return refusal_response(refusal, gateway.leaving)
@@ -140,6 +140,6 @@
         reason=failure.reason.value,
         verdict=failure.verdict.value,
         detail=failure.detail,
-        events=exchange.events.events,
+        events=exchange.events.event_count,
         fingerprint=exchange.fingerprint.hex() if failure.was_interrupted else None,
     )
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -9,12 +9,12 @@
 
 from celerytrack.endpoint import Choice, Endpoint
 from celerytrack.events import Event, log_event
-from celerytrack.findings import Trial
+from celerytrack.findings import Probe
 from celerytrack.gateway.exchange import AttemptFailure, Exchange
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import EndpointId
 from celerytrack.process_end import ENDING_KNOWN_S
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run
 
 _log = logging.getLogger(__name__)
@@ -26,18 +26,20 @@
 meanwhile."""
 
 
-def suspect_state_of(gateway: Gateway, exchange: Exchange, now_s: float) -> Standing:
+def suspect_state_of(
+    gateway: Gateway, exchange: Exchange, now_s: float
+) -> SuspectState:
     """Return how suspect a request is now."""
     book = gateway.suspects.tracker
-    if not book or not book.watches(exchange.place):
-        return Standing.CLEAR
-    builds = gateway.endpoints.builds(exchange.service, now_s)
-    return book.standing(exchange.fingerprint, builds, now_s)
+    if not book or not book.has_prefix(exchange.place):
+        return SuspectState.CLEAR
+    builds = gateway.endpoints.available_builds(exchange.service, now_s)
+    return book.state_of(exchange.fingerprint, builds, now_s)
 
 
 def quarantine_refusal(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
     """Return the refusal of a quarantined request."""
-    allowed_in_s = gateway.suspects.tracker.back_in_s(exchange.fingerprint, now_s)
+    allowed_in_s = gateway.suspects.tracker.retry_after_s(exchange.fingerprint, now_s)
     if allowed_in_s is None:
         allowed_in_s = OPERATOR_LIFT_RETRY_AFTER_S
     detail = f"endpoints ended under request {exchange.fingerprint.hex()}"
@@ -59,7 +61,7 @@
 
 
 def choose_endpoint(
-    gateway: Gateway, exchange: Exchange, standing: Standing, now_s: float
+    gateway: Gateway, exchange: Exchange, standing: SuspectState, now_s: float
 ) -> Choice | None:
     """Choose an endpoint for a request.
 
@@ -74,25 +76,25 @@
 
 
 def _endpoints_to_avoid(
-    gateway: Gateway, standing: Standing, now_s: float
+    gateway: Gateway, standing: SuspectState, now_s: float
 ) -> set[EndpointId]:
     book = gateway.suspects.tracker
     if not book:
         return set()
-    endpoints = book.endpoints_on_trial(now_s)
-    if standing is not Standing.CLEAR:
-        endpoints.update(gateway.suspects_at.elements())
+    endpoints = book.probed_endpoints(now_s)
+    if standing is not SuspectState.CLEAR:
+        endpoints.update(gateway.suspects_in_flight.elements())
     return endpoints
 
 
 def _choose(
     gateway: Gateway, exchange: Exchange, avoid: list[EndpointId], now_s: float
 ) -> Choice | None:
-    table = gateway.table
+    table = gateway.routing_table
     assert table is not None
     service = table.services.get(exchange.service)
     connections = service.max_connections if service else 1
-    load_times = gateway.load_times(now_s)
+    load_times = gateway.fleet_load_ratio(now_s)
     return gateway.endpoints.choose(
         exchange.need, load_times, connections, avoid, now_s
     )
@@ -107,8 +109,8 @@
     """
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
-    trial = Trial(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
-    members = gateway.keeper.members.live(now_s)
+    trial = Probe(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
+    members = gateway.share_sync.members.live_peers(now_s)
     others = [member.entry_id for member in members]
     if not await gateway.suspects.begin_probe(trial, others):
         return False
@@ -126,7 +128,7 @@
 def cancel_probe(gateway: Gateway, exchange: Exchange) -> None:
     """End an inconclusive probe, so that another may begin."""
     keeper = gateway.suspects
-    keeper.publish(keeper.tracker.release(exchange.fingerprint))
+    keeper.publish(keeper.tracker.cancel_probe(exchange.fingerprint))
 
 
 def cancel_probe_later(gateway: Gateway, exchange: Exchange) -> None:
@@ -142,10 +144,10 @@
     """Clear a request after a complete answer: it did not cause the crashes of other
     endpoints."""
     keeper = gateway.suspects
-    if not keeper.tracker or not keeper.tracker.watches(exchange.place):
+    if not keeper.tracker or not keeper.tracker.has_prefix(exchange.place):
         return
-    findings = keeper.tracker.forgive(exchange.fingerprint, time.monotonic())
-    if findings.empty:
+    findings = keeper.tracker.record_success(exchange.fingerprint, time.monotonic())
+    if findings.is_empty:
         return
     keeper.publish(findings)
     log_event(
@@ -154,5 +156,5 @@
         logging.WARNING,
         request_id=exchange.facts.request_id,
         fingerprint=exchange.fingerprint.hex(),
-        endings=[evidence.ending.endpoint_id for evidence in findings.forgiven],
+        endings=[evidence.crash.endpoint_id for evidence in findings.cleared],
     )
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -1,4 +1,4 @@
-"""Log lines of a log that came back from an older copy."""
+"""Log lines about a restore of the platform's log from an older backup."""
 
 import logging
 from collections.abc import Set
@@ -6,24 +6,24 @@
 from celerytrack.eras import Era, EraChange
 from celerytrack.events import Event, log_event
 from celerytrack.ids import EntryId
-from celerytrack.prepaid.restores import RestoreGuard
+from celerytrack.prepaid.restore_hold import RestoreHold
 
 _log = logging.getLogger(__name__)
 
-LOGGED_MOST = 20
-"""Entries that one line names."""
+MAX_LOGGED_ENTRIES = 20
+"""Most entries named in one line."""
 
 
 def log_restored(change: EraChange, offset: int | None, awaited: Set[EntryId]) -> None:
-    """Say that the log came back.
+    """Log that the platform's log was restored.
 
-    :param offset: up to where the rows of the old era were read.
-    :param awaited: the entries whose rows of the new era are waited for.
+    :param offset: offset up to which the rows of the old era were read.
+    :param awaited: entries that have yet to write a row in the new era.
     """
     log_event(
         _log,
         Event.ERA_CHANGED,
-        logging.INFO if change.expected else logging.WARNING,
+        logging.INFO if change.is_expected else logging.WARNING,
         old=change.old,
         new=change.new,
         offset=offset,
@@ -31,13 +31,13 @@
     )
 
 
-def log_hold_over(guard: RestoreGuard, era: Era | None) -> None:
-    """Say how long claims were held, and for whom in vain."""
+def log_hold_ended(guard: RestoreHold, era: Era | None) -> None:
+    """Log how long claims were held, and which entries still wrote no row."""
     log_event(
         _log,
         Event.ERA_CLAIMS_HELD,
         era=era,
-        held_s=round(guard.held_s, 3),
-        missing=sorted(guard.missing)[:LOGGED_MOST],
-        kept=guard.kept,
+        held_s=round(guard.duration_s, 3),
+        missing=sorted(guard.missing)[:MAX_LOGGED_ENTRIES],
+        kept=guard.retained_count,
     )
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -12,15 +12,15 @@
 
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.draining import abort_requests, drain, log_stage
-from celerytrack.gateway.gifts import answer_peer
 from celerytrack.gateway.listeners import Listeners
+from celerytrack.gateway.peer_requests import handle_peer_request
 from celerytrack.gateway.pipeline import handle
 from celerytrack.gateway.row_writer import FencedError
 from celerytrack.gateway.state import Gateway
 from celerytrack.gateway.tail import KeyedTail
 from celerytrack.gateway.watches import make_config_tail, make_endpoint_tail
 from celerytrack.ids import Zone
-from celerytrack.members import DEFAULT_TTL_S, Member, MemberState, choose_addresses
+from celerytrack.members import ADDRESS_TTL_S, Member, MemberState, choose_addresses
 from celerytrack.planned_stop import PlannedStop
 from celerytrack.platform.http import (
     READY_PATH,
@@ -110,12 +110,12 @@
         await listeners.open(settings.directory_address, self._directory)
         await listeners.open(settings.peer_address, self._peer)
         await listeners.open(settings.metrics_address, self._metrics)
-        await self._gateway.notes.open(settings.peer_address)
+        await self._gateway.peer_messenger.open(settings.peer_address)
 
     def _start_tasks(self) -> None:
         gateway = self._gateway
         loops = (
-            gateway.keeper.run(),
+            gateway.share_sync.run(),
             gateway.suspects.run(),
             self._follow(make_config_tail(gateway), CONFIG_PAUSE_S, CONFIG_LONG_POLL_S),
             self._follow(make_endpoint_tail(gateway), ENDPOINT_POLL_S, 0.0),
@@ -134,7 +134,7 @@
             return
         settings = _keep_identity(settings, self._gateway.settings)
         self._gateway.settings = settings
-        self._gateway.keeper.members.link_mbps = settings.link_mbps
+        self._gateway.share_sync.members.link_mbps = settings.link_mbps
         log_event(_log, Event.SETTINGS_RELOADED)
 
     # -- listeners ----------------------------------------------------------
@@ -154,23 +154,26 @@
         addresses = choose_addresses(self._serving_members(), zone, self._gateway.rng)
         if not addresses:
             return web.Response(status=503)
-        ttl_s = min(DEFAULT_TTL_S, self._gateway.settings.max_ttl_s)
+        ttl_s = min(ADDRESS_TTL_S, self._gateway.settings.max_ttl_s)
         body = json.dumps(encode_addresses(addresses, ttl_s)).encode()
         return web.Response(body=body, content_type="application/json")
 
     async def _peer(self, request: web.BaseRequest) -> web.StreamResponse:
-        keeper = self._gateway.keeper
-        give, known = keeper.reservations.give, keeper.book.guard.known
-        return await answer_peer(give, known, request)
+        share_sync = self._gateway.share_sync
+        give, known = (
+            share_sync.reservations.transfer,
+            share_sync.budgets.restore_hold.known_row,
+        )
+        return await handle_peer_request(give, known, request)
 
     async def _metrics(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._gateway.count_suspects()
+        self._gateway.update_suspect_metrics()
         body = self._gateway.telemetry.render()
         return web.Response(body=body, content_type="text/plain")
 
     def _serving_members(self) -> list[Member]:
         gateway = self._gateway
-        members = gateway.keeper.members.live(time.monotonic())
+        members = gateway.share_sync.members.live_peers(time.monotonic())
         front = gateway.settings.front_address
         if gateway.ready and front is not None:
             zone = gateway.settings.zone
--- a/src/celerytrack/prepaid/rows.py
+++ b/src/celerytrack/prepaid/rows.py
@@ -1,56 +1,58 @@
-"""All entries' rows as one entry folded them from the log."""
+"""The rows of all entries, folded from the log."""
 
 from collections.abc import Mapping
 
 import attrs
 
 from celerytrack.ids import AccountId, EntryId
-from celerytrack.prepaid.shares import Row
+from celerytrack.prepaid.shares import AccountClaim
 
 
 @attrs.define
-class Sums:
-    """What the rows of several entries say of one account, together.
+class RowSums:
+    """Sums over the claims of several entries on one account.
 
-    :ivar wanting: how many of them lack tokens.
+    :ivar wanting_entries: how many of the entries lack tokens.
     """
 
     used_tokens: int = 0
     lost_tokens: int = 0
     rate_tokens_per_s: int = 0
-    wanting: int = 0
+    wanting_entries: int = 0
 
-    def add(self, row: Row, times: int) -> None:
-        """Count ``row``, or with ``times`` -1 no longer."""
-        self.used_tokens += times * row.used_tokens
-        self.lost_tokens += times * row.lost_tokens
-        self.rate_tokens_per_s += times * row.rate_tokens_per_s
-        self.wanting += times * (row.wanted_tokens > 0)
+    def add(self, claim: AccountClaim, sign: int) -> None:
+        """Add ``claim``, or subtract it with a ``sign`` of -1."""
+        self.used_tokens += sign * claim.used_tokens
+        self.lost_tokens += sign * claim.lost_tokens
+        self.rate_tokens_per_s += sign * claim.rate_tokens_per_s
+        self.wanting_entries += sign * (claim.wanted_tokens > 0)
 
 
 class FoldedRows:
-    """The newest row of each entry, and what they come to.
+    """The newest row of each entry, with sums per account.
 
-    Sums are kept as rows are folded, so that what an entry does before each row that it
-    writes does not grow with the fleet (``bench.rows_bench``).
+    Sums are updated as rows are folded, so that the work before each write of a row
+    does not grow with the fleet (``bench.rows_bench``).
 
-    :param me: this entry; its own row is among them once it is on the log.
+    :param me: this entry; its own row is included once it is on the log.
     """
 
     def __init__(self, me: EntryId) -> None:
         self.me = me
-        self._rows: dict[EntryId, Mapping[AccountId, Row]] = {}
+        self._rows: dict[EntryId, Mapping[AccountId, AccountClaim]] = {}
         self._claimed: dict[AccountId, int] = {}
-        self._others: dict[AccountId, Sums] = {}
+        self._others: dict[AccountId, RowSums] = {}
         self._unreadable: set[EntryId] = set()
 
     @property
     def all_readable(self) -> bool:
-        """Whether what every row claims is known."""
+        """Whether the claims of every row are known."""
         return not self._unreadable
 
-    def fold(self, entry: EntryId, row: Mapping[AccountId, Row]) -> set[AccountId]:
-        """Take the newest row of ``entry``; the accounts that it concerns."""
+    def fold(
+        self, entry: EntryId, row: Mapping[AccountId, AccountClaim]
+    ) -> set[AccountId]:
+        """Store the newest row of ``entry``; the accounts whose claims it affects."""
         self._unreadable.discard(entry)
         old = self._rows.get(entry, {})
         self._rows[entry] = row
@@ -64,40 +66,39 @@
             self._sum(row, 1)
         return set(accounts)
 
-    def _sum(self, row: Mapping[AccountId, Row], times: int) -> None:
-        for account, published in row.items():
-            self._others.setdefault(account, Sums()).add(published, times)
+    def _sum(self, row: Mapping[AccountId, AccountClaim], sign: int) -> None:
+        for account, claim in row.items():
+            self._others.setdefault(account, RowSums()).add(claim, sign)
 
-    def unreadable(self, entry: EntryId) -> None:
-        """The newest row of ``entry`` cannot be read."""
+    def mark_unreadable(self, entry: EntryId) -> None:
+        """Record that the newest row of ``entry`` cannot be decoded."""
         self._unreadable.add(entry)
 
     def entries(self) -> set[EntryId]:
         """The entries that have a row."""
         return set(self._rows)
 
-    def mine(self) -> Mapping[AccountId, Row]:
-        """This entry's row."""
+    def own_row(self) -> Mapping[AccountId, AccountClaim]:
         return self._rows.get(self.me, {})
 
     def claimed_tokens(self, account: AccountId) -> int:
-        """What all rows claim of ``account``."""
+        """The sum of all claims on ``account``."""
         return self._claimed.get(account, 0)
 
-    def others(self, account: AccountId) -> Sums:
-        """What the other entries published of ``account``."""
-        return self._others.get(account, Sums())
+    def others(self, account: AccountId) -> RowSums:
+        """Sums over the other entries' claims on ``account``."""
+        return self._others.get(account, RowSums())
 
-    def richest(self, account: AccountId) -> list[EntryId]:
-        """The other entries by how much of ``account`` they probably hold."""
-        left = {
-            entry: row.claimed_tokens - row.used_tokens
-            for entry, row in self._published(account).items()
+    def entries_by_unspent(self, account: AccountId) -> list[EntryId]:
+        """The other entries that probably hold tokens of ``account``, largest first."""
+        unspent = {
+            entry: claim.claimed_tokens - claim.used_tokens
+            for entry, claim in self._others_claims(account).items()
         }
-        holding = (entry for entry, tokens in left.items() if tokens > 0)
-        return sorted(holding, key=lambda e: left[e], reverse=True)
+        holders = (entry for entry, tokens in unspent.items() if tokens > 0)
+        return sorted(holders, key=lambda e: unspent[e], reverse=True)
 
-    def _published(self, account: AccountId) -> dict[EntryId, Row]:
+    def _others_claims(self, account: AccountId) -> dict[EntryId, AccountClaim]:
         return {
             entry: row[account]
             for entry, row in self._rows.items()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,9 +11,9 @@
 from aiohttp import web
 from nose2.tools import params
 
-from celerytrack.gateway import gifts
+from celerytrack.gateway import peer_requests
 from celerytrack.gateway.attempts import CallerDisconnectedError, finish_stream
-from celerytrack.gateway.reservations import ASKING_S, WAIT_TOKENS_S
+from celerytrack.gateway.reservations import MAX_TOKEN_WAIT_S, PEER_REQUESTS_TIMEOUT_S
 from celerytrack.ids import AccountId
 from celerytrack.planned_stop import PlannedStop
 from celerytrack.platform.topics import (
@@ -22,7 +22,7 @@
     ENDPOINTS_TOPIC,
     ENTRIES_TOPIC,
 )
-from tests.gateway_fleet import HOST, KEY, SEAL, Endpoint, Fleet, Script, config
+from tests.gateway_fleet import HOST, KEY, SEAL_HEADERS, Endpoint, Fleet, Script, config
 
 T = AccountId("t")
 ROW_WRITE_TIMEOUT_S = 0.075
@@ -30,7 +30,7 @@
 
 
 def _echo(request: web.BaseRequest, **more: str) -> dict[str, str]:
-    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL, **more}
+    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS, **more}
 
 
 async def _good(request: web.BaseRequest) -> web.StreamResponse:
@@ -67,7 +67,7 @@
 
 
 async def _other_answer(request: web.BaseRequest) -> web.StreamResponse:
-    headers = {**SEAL, "X-Attempt-Id": "somebody-else"}
+    headers = {**SEAL_HEADERS, "X-Attempt-Id": "somebody-else"}
     return web.Response(body=b"theirs", headers=headers)
 
 
@@ -236,7 +236,7 @@
                 record = other.registration(zone="far")
                 fleet.log.put(ENDPOINTS_TOPIC, other.name, record)
                 known = fleet.gateways[0].endpoints
-                await fleet.until(lambda: len(known.ids()) == 2)
+                await fleet.wait_until(lambda: len(known.registered_ids()) == 2)
             status, headers, body = await fleet.ask("/plain/x")
             self.assertEqual(json.loads(body)["error"]["verdict"], "may_have_run")
             self.assertEqual(status, 502)
@@ -273,8 +273,11 @@
             fleet.log.put(ENDPOINTS_TOPIC, good.name, far)
             fleet.log.put(ENDPOINTS_TOPIC, crashed.name, crashed.registration())
             gateway = fleet.gateways[0]
-            await fleet.until(
-                lambda: gateway.table.version == 2 and len(gateway.endpoints.ids()) == 2
+            await fleet.wait_until(
+                lambda: (
+                    gateway.routing_table.version == 2
+                    and len(gateway.endpoints.registered_ids()) == 2
+                )
             )
             for i in range(6):
                 status, _, _ = await fleet.ask("/once/x", f"r{i}")
@@ -306,12 +309,12 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await fleet.ask("/stream/x", **self.headers)
-            await fleet.until(lambda: fleet.endpoints[0].cancelled == 1, 0.5)
+            await fleet.wait_until(lambda: fleet.endpoints[0].cancelled == 1, 0.5)
 
     async def test_tokens_of_a_resumed_stream_are_charged_once(self):
         async with _fleet(_broken_stream, _five) as fleet:
             await fleet.ask("/resume/x", **self.headers)
-            book = fleet.gateways[0].keeper.book
+            book = fleet.gateways[0].share_sync.budgets
             share = book._shares[T]
             self.assertEqual(share.reserved_tokens, 0)
             self.assertLessEqual(share.spent_tokens, 15)
@@ -346,7 +349,7 @@
         # The timeout of a token transfer is raised because it is not under test: on a
         # loaded machine this process, which runs both entries, was paused for 0.18 s in
         # one step, which is longer than the regular timeout.
-        with mock.patch.object(gifts, "ASK_TIMEOUT_S", 2.0):
+        with mock.patch.object(peer_requests, "PEER_REQUEST_TIMEOUT_S", 2.0):
             status = await self._request_more_than_one_entry_has()
         self.assertEqual(status, 200)
 
@@ -354,8 +357,8 @@
         async with _fleet(_five, gateways=2) as fleet:
             await self._wait_for_settled_rows(fleet)
             fleet.log.down = True
-            here, there = (g.keeper.book for g in fleet.gateways)
-            cost = here.left_tokens(T, 0.0) + there.left_tokens(T, 0.0) // 3
+            here, there = (g.share_sync.budgets for g in fleet.gateways)
+            cost = here.available_tokens(T, 0.0) + there.available_tokens(T, 0.0) // 3
             one = {"X_Token_Count": f"{cost},5", "X_Prompt_Prefix": "aa:6"}
             status, _, _ = await fleet.ask("/stream/x", **one)
             return status
@@ -363,14 +366,18 @@
     async def _wait_for_settled_rows(self, fleet: Fleet) -> None:
         """Wait until the rows of every entry take the other into account: the first
         entry to start claims tokens as if it were alone, and lowers the claim later."""
-        await fleet.until(
-            lambda: all(len(g.keeper.members.members()) == 2 for g in fleet.gateways)
+        await fleet.wait_until(
+            lambda: all(
+                len(g.share_sync.members.members()) == 2 for g in fleet.gateways
+            )
         )
         wrote = len(fleet.log.topics["keyed.celerytrack-entries"].records)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: (
                 len(fleet.log.topics["keyed.celerytrack-entries"].records) >= wrote + 6
-                and not any(g.keeper.book.row_on_its_way for g in fleet.gateways)
+                and not any(
+                    g.share_sync.budgets.has_row_in_flight for g in fleet.gateways
+                )
             )
         )
 
@@ -380,7 +387,7 @@
             await asyncio.sleep(1.5)
             fleet.log.lose_answers = False
             appends = fleet.log.appends
-            await fleet.until(lambda: fleet.log.appends > appends + 1)
+            await fleet.wait_until(lambda: fleet.log.appends > appends + 1)
             numbers = list(fleet.log.topics["keyed.celerytrack-entries"].answers)
             self.assertEqual(len(numbers), len(set(numbers)))
 
@@ -388,10 +395,14 @@
         """Guards against an answer that is sent after the caller's deadline."""
 
         async def longest_wait(*_):
-            await asyncio.sleep(WAIT_TOKENS_S + ASKING_S + gifts.ASK_TIMEOUT_S)
+            await asyncio.sleep(
+                MAX_TOKEN_WAIT_S
+                + PEER_REQUESTS_TIMEOUT_S
+                + peer_requests.PEER_REQUEST_TIMEOUT_S
+            )
 
         async with _fleet(_good, config=config(prepaid=100)) as fleet:
-            reservations = fleet.gateways[0].keeper.reservations
+            reservations = fleet.gateways[0].share_sync.reservations
             with mock.patch.object(reservations, "reserve", longest_wait):
                 began_s = time.monotonic()
                 asked = fleet.ask("/plain/x", X_Token_Count="1,1", X_Deadline_Ms="200")
@@ -405,12 +416,12 @@
         async with _fleet(_good) as fleet:
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(7, pathPrefix="/new/"))
             gateway = fleet.gateways[0]
-            await fleet.until(lambda: gateway.table.version == 7, 2.0)
+            await fleet.wait_until(lambda: gateway.routing_table.version == 7, 2.0)
             self.assertEqual((await fleet.ask("/new/x"))[0], 200)
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(3))
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, b"no configuration")
             await asyncio.sleep(0.3)
-            self.assertEqual(gateway.table.version, 7)
+            self.assertEqual(gateway.routing_table.version, 7)
 
     async def test_change_is_seen_despite_a_read_that_is_never_answered(self):
         """Guards against 404 for a route that has been in force for four seconds.
@@ -425,7 +436,9 @@
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(5))
             await asyncio.sleep(0.1)
             fleet.log.deaf = False
-            await fleet.until(lambda: fleet.gateways[0].table.version == 5, 3.5)
+            await fleet.wait_until(
+                lambda: fleet.gateways[0].routing_table.version == 5, 3.5
+            )
 
     async def test_latest_records_are_read_after_the_history_was_trimmed(self):
         async with _fleet(_good) as fleet:
@@ -436,7 +449,9 @@
             for topic in list(fleet.log.topics):
                 fleet.log.forget_history(topic)
             fleet.log.down = False
-            await fleet.until(lambda: fleet.gateways[0].table.version == 9, 4.0)
+            await fleet.wait_until(
+                lambda: fleet.gateways[0].routing_table.version == 9, 4.0
+            )
             self.assertEqual((await fleet.ask("/plain/x"))[0], 200)
 
     async def test_draining_endpoint_gets_no_new_requests(self):
@@ -475,7 +490,7 @@
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first)
             await asyncio.sleep(0.8)
             asking = asyncio.create_task(fleet.ask("/once/x"))
-            await fleet.until(lambda: len(self.endpoint.seen) == 1)
+            await fleet.wait_until(lambda: len(self.endpoint.seen) == 1)
             await self._restart(fleet)
             status, _, _ = await asyncio.wait_for(asking, 1.5)
             # The request may have run: it is not sent again, nor refused as not run.
@@ -513,12 +528,12 @@
             for raw in (b"\xff", b"[" * 100_000, first.registration(state="asleep")):
                 fleet.log.put(ENDPOINTS_TOPIC, "i-1", raw)
             fleet.log.put(ENDPOINTS_TOPIC, "i-3", b"{}")
-            await fleet.until(lambda: book.ids() == ["i-2"])
+            await fleet.wait_until(lambda: book.registered_ids() == ["i-2"])
             for i in range(6):
                 await fleet.ask("/plain/x", f"r{i}")
             self.assertEqual((len(first.seen), len(second.seen)), (0, 6))
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first.registration())
-            await fleet.until(lambda: set(book.ids()) == {"i-1", "i-2"})
+            await fleet.wait_until(lambda: set(book.registered_ids()) == {"i-1", "i-2"})
 
     async def test_invalid_record_removes_the_only_endpoint_of_a_service(self):
         """Guards against requests to the only endpoint of a service for 1.5 s after
@@ -531,7 +546,7 @@
         async with Fleet(only) as fleet:
             book = fleet.gateways[0].endpoints
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", b"{}")
-            await fleet.until(lambda: book.ids() == [])
+            await fleet.wait_until(lambda: book.registered_ids() == [])
             status, _, _ = await fleet.ask("/plain/x")
             self.assertEqual((status, len(only.seen)), (503, 0))
 
@@ -544,16 +559,18 @@
 
         async with _fleet(slow, gateways=2) as fleet:
             leaving, other = fleet.gateways
-            await fleet.until(lambda: len(other.keeper.members.live(1e9)) == 1)
+            await fleet.wait_until(
+                lambda: len(other.share_sync.members.live_peers(1e9)) == 1
+            )
             asked = asyncio.create_task(fleet.ask("/once/x"))
-            await fleet.until(lambda: _runs(fleet) == 1)
+            await fleet.wait_until(lambda: _runs(fleet) == 1)
             fleet.servers[0].stop()
-            await fleet.until(lambda: not leaving.ready)
+            await fleet.wait_until(lambda: not leaving.ready)
             self.assertEqual((await asked)[0], 200)
             late = await fleet.ask("/plain/late", "r2")
             self.assertEqual((late[0], late[1].get("Connection")), (200, "close"))
-            await fleet.until(
-                lambda: not other.keeper.members.live(1e9),
+            await fleet.wait_until(
+                lambda: not other.share_sync.members.live_peers(1e9),
             )
             address = other.settings.directory_address
             url = f"http://{address}/resolve?name={HOST}&zone=z"
@@ -569,7 +586,7 @@
                 # A varying moment between two periodic rows.
                 await asyncio.sleep(0.37)
                 known = len(rows)
-                fleet.gateways[0].keeper.leave()
+                fleet.gateways[0].share_sync.publish_leaving()
                 await asyncio.sleep(ROW_WRITE_TIMEOUT_S)
                 self.assertGreater(len(rows), known)
 
--- a/tests/test_outside_records.py
+++ b/tests/test_outside_records.py
@@ -9,12 +9,16 @@
 from nose2.tools import params
 
 from celerytrack.endpoint import Registration
-from celerytrack.gateway.gifts import Gift, decode_gift, decode_gift_request
-from celerytrack.gateway.peer_notes import (
-    LeaveNote,
-    NoteError,
-    PromptNote,
-    decode_note,
+from celerytrack.gateway.peer_messages import (
+    LeavingMessage,
+    LongPromptMessage,
+    PeerMessageError,
+    decode_peer_message,
+)
+from celerytrack.gateway.peer_requests import (
+    TransferReply,
+    decode_transfer_reply,
+    decode_transfer_request,
 )
 from celerytrack.ids import EndpointId, ServiceName, Zone
 from celerytrack.members import Member
@@ -121,14 +125,14 @@
         waits at the engine is then infinite too, and never gets less.
         Cause: any number was taken.
         """
-        with self.assertRaises(NoteError):
-            decode_note(msgpack.packb(note))
+        with self.assertRaises(PeerMessageError):
+            decode_peer_message(msgpack.packb(note))
 
     @params(b'{"tokens": 1e999}', b'{"tokens": -5}', b'{"tokens": "5"}', b"[]")
     def test_a_gift_is_a_count(self, raw):
         with self.assertRaises(UnreadableError):
-            decode_gift(raw)
-        self.assertEqual(decode_gift(b'{"tokens": 5}'), Gift(5))
+            decode_transfer_reply(raw)
+        self.assertEqual(decode_transfer_reply(b'{"tokens": 5}'), TransferReply(5))
 
     @params(
         {"X-Token-Count": "-5,10"},
@@ -224,12 +228,17 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _packable.map(msgpack.packb))
     def test_notes(self, raw):
-        self._only_raises(decode_note, NoteError, raw, PromptNote | LeaveNote)
+        self._only_raises(
+            decode_peer_message,
+            PeerMessageError,
+            raw,
+            LongPromptMessage | LeavingMessage,
+        )
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _json.map(json.dumps).map(str.encode))
     def test_gifts(self, raw):
-        for decode in (decode_gift, decode_gift_request):
+        for decode in (decode_transfer_reply, decode_transfer_request):
             self._only_raises(decode, UnreadableError, raw, object)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
