--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -112,8 +112,8 @@
     """
     facts, account = exchange.facts, exchange.account
     tokens = facts.input_tokens + facts.output_tokens
-    book = gateway.share_sync.budgets
-    if account is None or not tokens or not book.is_limited(account):
+    budgets = gateway.share_sync.budgets
+    if account is None or not tokens or not budgets.is_limited(account):
         return None
     table = gateway.routing_table
     urgent = table is not None and exchange.route.priority <= table.top_priority
@@ -128,7 +128,7 @@
 
 
 def insufficient_tokens(
-    keeper: ShareSync,
+    share_sync: ShareSync,
     account: AccountId,
     tokens: int,
     total_known: bool,
@@ -143,14 +143,14 @@
     :param total_known: whether the known total is up to date, so that no top-up can
         have been missed.
     """
-    book = keeper.budgets
-    if total_known and book.is_exhausted(account, tokens):
+    budgets = share_sync.budgets
+    if total_known and budgets.is_exhausted(account, tokens):
         detail = f"{tokens} tokens do not fit what is left"
         return did_not_run(Reason.BUDGET_EXHAUSTED, None, detail)
-    detail = f"{tokens} tokens, {book.available_tokens(account, now_s)} in hand here"
+    detail = f"{tokens} tokens, {budgets.available_tokens(account, now_s)} in hand here"
     retry_after_s = NO_TOKENS_RETRY_AFTER_S
-    if not keeper.reachable:
-        free_s = book.free_in_s(account, tokens, now_s)
+    if not share_sync.reachable:
+        free_s = budgets.free_in_s(account, tokens, now_s)
         retry_after_s = (
             PARTITION_RETRY_AFTER_S
             if free_s is None
@@ -165,9 +165,9 @@
     """Charge the tokens used, or free the whole reservation if nothing ran."""
     if reservation is None:
         return
-    book = gateway.share_sync.budgets
+    budgets = gateway.share_sync.budgets
     if not exchange.may_have_run:
-        book.release(reservation)
+        budgets.release(reservation)
         return
     assert gateway.routing_table is not None
     service = gateway.routing_table.services.get(exchange.service)
@@ -178,6 +178,6 @@
     output_tokens = (
         exchange.events.event_count + (1 if streamed else 0)
     ) * tokens_per_event
-    book.commit(
+    budgets.commit(
         reservation, exchange.facts.input_tokens + output_tokens, time.monotonic()
     )
--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -35,7 +35,7 @@
 
 
 async def attempt(
-    gateway: Gateway, exchange: Exchange, endpoint: Endpoint, sent: Dispatch
+    gateway: Gateway, exchange: Exchange, endpoint: Endpoint, dispatch: Dispatch
 ) -> AttemptResult:
     """Send ``exchange`` to ``endpoint`` and wait for its answer.
 
@@ -45,7 +45,7 @@
     envelope = Envelope(
         endpoint_id=endpoint.endpoint_id,
         left_s=exchange.deadline_at_s - time.monotonic(),
-        urgency=urgency(exchange.priority, sent.work_s, exchange.route.target_s),
+        urgency=urgency(exchange.priority, dispatch.work_s, exchange.route.target_s),
         account=exchange.account,
         last_event_id=exchange.resume_from if exchange.route.stream else None,
     )
@@ -55,7 +55,7 @@
     connections = gateway.connections.get(endpoint.endpoint_id)
     try:
         async with connections.abort_on_loss():
-            return await _send(gateway, exchange, sent, connections, url, envelope)
+            return await _send(gateway, exchange, dispatch, connections, url, envelope)
     except EndpointGoneError:
         return _unusable_answer("the endpoint started again")
 
@@ -63,7 +63,7 @@
 async def _send(
     gateway: Gateway,
     exchange: Exchange,
-    sent: Dispatch,
+    dispatch: Dispatch,
     connections: IncarnationConnections,
     url: yarl.URL,
     envelope: Envelope,
@@ -82,14 +82,18 @@
         detail = f"{type(exc).__name__}: {exc}"
         return Failure(
             AttemptFailure(
-                Reason.UPSTREAM_FAILED, Verdict.DID_NOT_RUN, True, detail, sent=False
+                Reason.UPSTREAM_FAILED,
+                Verdict.DID_NOT_RUN,
+                True,
+                detail,
+                sent=False,
             )
         )
     except _BROKEN as exc:
         return _connection_failure(Reason.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, exc)
     complete = False
     try:
-        result = await _handle_response(gateway, exchange, sent, response)
+        result = await _handle_response(gateway, exchange, dispatch, response)
         complete = isinstance(result, Success)
         return result
     finally:
@@ -108,7 +112,7 @@
 async def _handle_response(
     gateway: Gateway,
     exchange: Exchange,
-    sent: Dispatch,
+    dispatch: Dispatch,
     response: aiohttp.ClientResponse,
 ) -> AttemptResult:
     facts = decode_answer(response.status, response.headers)
@@ -128,8 +132,8 @@
     if response.status < 300 and not _is_authentic(facts):
         return _unusable_answer("success without signature or id")
     if exchange.route.stream and response.status == 200:
-        return await _relay(gateway, exchange, sent, response)
-    return await _read_answer(sent, response)
+        return await _relay(gateway, exchange, dispatch, response)
+    return await _read_answer(dispatch, response)
 
 
 def _is_authentic(facts: AnswerFacts) -> bool:
@@ -137,7 +141,7 @@
 
 
 async def _read_answer(
-    sent: Dispatch, response: aiohttp.ClientResponse
+    dispatch: Dispatch, response: aiohttp.ClientResponse
 ) -> AttemptResult:
     protocol = _protocol(response)
     try:
@@ -146,7 +150,7 @@
         return _connection_failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
     if _was_reset(response, protocol):
         return _unusable_answer("an answer without length was reset")
-    sent.record_first_output(time.monotonic())
+    dispatch.record_first_output(time.monotonic())
     headers = returned_headers(response.headers)
     return Success(BufferedAnswer(response.status, headers, body))
 
@@ -154,7 +158,7 @@
 async def _relay(
     gateway: Gateway,
     exchange: Exchange,
-    sent: Dispatch,
+    dispatch: Dispatch,
     response: aiohttp.ClientResponse,
 ) -> AttemptResult:
     protocol = _protocol(response)
@@ -172,7 +176,7 @@
             continue
         if exchange.response is None:
             exchange.first_data_at_s = time.monotonic()
-            sent.record_first_output(exchange.first_data_at_s)
+            dispatch.record_first_output(exchange.first_data_at_s)
             await _start_stream(gateway, exchange, response)
         await _write(exchange, received.data)
     if events.has_partial or _was_reset(response, protocol):
--- a/src/celerytrack/gateway/connections.py
+++ b/src/celerytrack/gateway/connections.py
@@ -45,23 +45,23 @@
 
         :raises EndpointGoneError: if the incarnation was lost.
         """
-        scope = asyncio.timeout(None)
-        self._requests.add(scope)
+        timeout = asyncio.timeout(None)
+        self._requests.add(timeout)
         try:
-            async with scope:
+            async with timeout:
                 yield
         except TimeoutError:
-            if scope.expired():
+            if timeout.expired():
                 raise EndpointGoneError from None
             raise
         finally:
-            self._requests.discard(scope)
+            self._requests.discard(timeout)
 
     async def abort(self) -> None:
         """Abort the requests and close the connections."""
         now_s = asyncio.get_running_loop().time()
-        for scope in self._requests:
-            scope.reschedule(now_s)
+        for timeout in self._requests:
+            timeout.reschedule(now_s)
         while self._requests:
             await asyncio.sleep(0)
         await self.session.close()
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -95,28 +95,28 @@
     response: web.StreamResponse | None = None
     events: EventSplitter = attrs.field(factory=EventSplitter)
     timeout: asyncio.Timeout | None = None
-    _place: FingerprintPrefix | None = None
+    _fingerprint_prefix: FingerprintPrefix | None = None
     _fingerprint: Fingerprint | None = None
 
     @property
-    def place(self) -> FingerprintPrefix:
+    def fingerprint_prefix(self) -> FingerprintPrefix:
         """The first half of the fingerprint, computed on first use."""
-        if self._place is None:
-            line = RequestHead(
+        if self._fingerprint_prefix is None:
+            head = RequestHead(
                 method=self.request.method,
                 host=self.facts.host,
                 path=self.request.raw_path,
                 account=self.account,
                 body_bytes=len(self.body),
             )
-            self._place = prefix_of(line)
-        return self._place
+            self._fingerprint_prefix = prefix_of(head)
+        return self._fingerprint_prefix
 
     @property
     def fingerprint(self) -> Fingerprint:
         """The value that all repeats of the request share, computed on first use."""
         if self._fingerprint is None:
-            self._fingerprint = fingerprint_of(self.place, self.body)
+            self._fingerprint = fingerprint_of(self.fingerprint_prefix, self.body)
         return self._fingerprint
 
     @property
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -209,15 +209,15 @@
     now_s = time.monotonic()
     if gateway.is_endpoint_view_stale(now_s):
         return Failure(_no_endpoint("what is known of endpoints is too old"))
-    standing = suspect_state_of(gateway, exchange, now_s)
-    if standing is SuspectState.QUARANTINED:
+    suspect_state = suspect_state_of(gateway, exchange, now_s)
+    if suspect_state is SuspectState.QUARANTINED:
         return Failure(quarantine_failure(gateway, exchange, now_s))
-    chosen = choose_endpoint(gateway, exchange, standing, now_s)
+    chosen = choose_endpoint(gateway, exchange, suspect_state, now_s)
     if chosen is None:
         return Failure(_no_endpoint("none has room"))
-    if standing is SuspectState.CLEAR:
+    if suspect_state is SuspectState.CLEAR:
         return await _send(gateway, exchange, chosen)
-    if standing is SuspectState.WATCHED:
+    if suspect_state is SuspectState.WATCHED:
         return await _send_suspect(gateway, exchange, chosen)
     return await _send_probe(gateway, exchange, chosen)
 
@@ -253,29 +253,29 @@
 
 async def _send(gateway: Gateway, exchange: Exchange, chosen: Choice) -> AttemptResult:
     now_s = time.monotonic()
-    book = gateway.endpoints
+    endpoints = gateway.endpoints
     endpoint = chosen.endpoint
     ran_before = exchange.may_have_run
     exchange.tried.append(endpoint.endpoint_id)
     exchange.may_have_run = True
     exchange.choice = chosen
-    sent = book.record_dispatch(chosen, exchange.need, now_s)
+    dispatch = endpoints.record_dispatch(chosen, exchange.need, now_s)
     gateway.announce_prompt(endpoint.endpoint_id, chosen.work_s)
     try:
-        result = await attempt(gateway, exchange, endpoint, sent)
+        result = await attempt(gateway, exchange, endpoint, dispatch)
     finally:
-        sent.finish(time.monotonic(), not exchange.facts.parts)
+        dispatch.finish(time.monotonic(), not exchange.facts.parts)
     match result:
         case Success(answer):
             if answer is not None and answer.status >= 500:
-                book.record_failure(endpoint, False, time.monotonic())
+                endpoints.record_failure(endpoint, False, time.monotonic())
             else:
-                book.record_success(endpoint)
+                endpoints.record_success(endpoint)
                 record_success(gateway, exchange)
         case Failure(failure):
             exchange.unreached += failure.address_reused or not failure.sent
             record_attempt_failure(gateway, exchange, endpoint.endpoint_id, failure)
-            book.record_failure(endpoint, failure.hard, time.monotonic())
+            endpoints.record_failure(endpoint, failure.hard, time.monotonic())
             if failure.was_interrupted:
                 gateway.ended_endpoints.report_interrupted(
                     endpoint, exchange.fingerprint
@@ -283,7 +283,7 @@
             if failure.address_reused:
                 # While registrations cannot be read, the next request would also be
                 # sent there, and be refused if its route allows one attempt only.
-                book.deregister_now(endpoint.endpoint_id, time.monotonic())
+                endpoints.deregister_now(endpoint.endpoint_id, time.monotonic())
             if failure.verdict is Verdict.DID_NOT_RUN:
                 exchange.may_have_run = ran_before
     return result
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -30,11 +30,11 @@
     gateway: Gateway, exchange: Exchange, now_s: float
 ) -> SuspectState:
     """Return how suspect a request is now."""
-    book = gateway.suspects.tracker
-    if not book or not book.has_prefix(exchange.place):
+    tracker = gateway.suspects.tracker
+    if not tracker or not tracker.has_prefix(exchange.fingerprint_prefix):
         return SuspectState.CLEAR
     builds = gateway.endpoints.available_builds(exchange.service, now_s)
-    return book.state_of(exchange.fingerprint, builds, now_s)
+    return tracker.state_of(exchange.fingerprint, builds, now_s)
 
 
 def quarantine_refusal(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
@@ -61,42 +61,42 @@
 
 
 def choose_endpoint(
-    gateway: Gateway, exchange: Exchange, standing: SuspectState, now_s: float
+    gateway: Gateway, exchange: Exchange, suspect_state: SuspectState, now_s: float
 ) -> Choice | None:
     """Choose an endpoint for a request.
 
     While other endpoints have room, no two suspects share an endpoint, and no request
     shares one with a half-open probe.
     """
-    avoided = _endpoints_to_avoid(gateway, standing, now_s)
-    chosen = _choose(gateway, exchange, [*exchange.tried, *avoided], now_s)
-    if chosen is None and avoided:
+    to_avoid = _endpoints_to_avoid(gateway, suspect_state, now_s)
+    chosen = _choose(gateway, exchange, [*exchange.tried, *to_avoid], now_s)
+    if chosen is None and to_avoid:
         chosen = _choose(gateway, exchange, exchange.tried, now_s)
     return chosen
 
 
 def _endpoints_to_avoid(
-    gateway: Gateway, standing: SuspectState, now_s: float
+    gateway: Gateway, suspect_state: SuspectState, now_s: float
 ) -> set[EndpointId]:
-    book = gateway.suspects.tracker
-    if not book:
+    tracker = gateway.suspects.tracker
+    if not tracker:
         return set()
-    endpoints = book.probed_endpoints(now_s)
-    if standing is not SuspectState.CLEAR:
+    endpoints = tracker.probed_endpoints(now_s)
+    if suspect_state is not SuspectState.CLEAR:
         endpoints.update(gateway.suspects_in_flight.elements())
     return endpoints
 
 
 def _choose(
-    gateway: Gateway, exchange: Exchange, avoid: list[EndpointId], now_s: float
+    gateway: Gateway, exchange: Exchange, to_avoid: list[EndpointId], now_s: float
 ) -> Choice | None:
     table = gateway.routing_table
     assert table is not None
     service = table.services.get(exchange.service)
     connections = service.max_connections if service else 1
-    load_times = gateway.fleet_load_ratio(now_s)
+    load_ratio = gateway.fleet_load_ratio(now_s)
     return gateway.endpoints.choose(
-        exchange.need, load_times, connections, avoid, now_s
+        exchange.need, load_ratio, connections, to_avoid, now_s
     )
 
 
@@ -109,10 +109,10 @@
     """
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
-    trial = Probe(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
+    probe = Probe(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
     members = gateway.share_sync.members.live_peers(now_s)
     others = [member.entry_id for member in members]
-    if not await gateway.suspects.begin_probe(trial, others):
+    if not await gateway.suspects.begin_probe(probe, others):
         return False
     log_event(
         _log,
@@ -127,8 +127,8 @@
 
 def cancel_probe(gateway: Gateway, exchange: Exchange) -> None:
     """End an inconclusive probe, so that another may begin."""
-    keeper = gateway.suspects
-    keeper.publish(keeper.tracker.cancel_probe(exchange.fingerprint))
+    suspects = gateway.suspects
+    suspects.publish(suspects.tracker.cancel_probe(exchange.fingerprint))
 
 
 def cancel_probe_later(gateway: Gateway, exchange: Exchange) -> None:
@@ -143,13 +143,15 @@
 def record_success(gateway: Gateway, exchange: Exchange) -> None:
     """Clear a request after a complete answer: it did not cause the crashes of other
     endpoints."""
-    keeper = gateway.suspects
-    if not keeper.tracker or not keeper.tracker.has_prefix(exchange.place):
+    suspects = gateway.suspects
+    if not suspects.tracker or not suspects.tracker.has_prefix(
+        exchange.fingerprint_prefix
+    ):
         return
-    findings = keeper.tracker.record_success(exchange.fingerprint, time.monotonic())
+    findings = suspects.tracker.record_success(exchange.fingerprint, time.monotonic())
     if findings.is_empty:
         return
-    keeper.publish(findings)
+    suspects.publish(findings)
     log_event(
         _log,
         Event.SUSPECT_CLEARED,
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -160,11 +160,11 @@
 
     async def _peer(self, request: web.BaseRequest) -> web.StreamResponse:
         share_sync = self._gateway.share_sync
-        give, known = (
+        transfer, known_row = (
             share_sync.reservations.transfer,
             share_sync.budgets.restore_hold.known_row,
         )
-        return await handle_peer_request(give, known, request)
+        return await handle_peer_request(transfer, known_row, request)
 
     async def _metrics(self, request: web.BaseRequest) -> web.StreamResponse:
         self._gateway.update_suspect_metrics()
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -104,7 +104,7 @@
         self.tracker.merge(findings, False, time.monotonic())
         self._on_change(findings)
 
-    async def begin_probe(self, trial: Probe, others: Sequence[EntryId]) -> bool:
+    async def begin_probe(self, probe: Probe, others: Sequence[EntryId]) -> bool:
         """Begin a half-open probe: one entry sends the request, and no other does.
 
         While the log accepts no records, some entries may not learn of the probe. Then
@@ -114,7 +114,7 @@
         :param others: the other live entries.
         :return: whether this entry may send the probe.
         """
-        findings = self.tracker.begin_probe(trial, time.monotonic())
+        findings = self.tracker.begin_probe(probe, time.monotonic())
         if findings is None:
             return False
         self.publish(findings)
@@ -122,12 +122,12 @@
             logged = self._log_writable and await self._wait_logged(PUBLISH_TIMEOUT_S)
         except asyncio.CancelledError:
             # The caller has disconnected, or the deadline has passed.
-            self.publish(self.tracker.cancel_probe(trial.fingerprint))
+            self.publish(self.tracker.cancel_probe(probe.fingerprint))
             raise
-        allowed = logged or self._is_preferred(trial.fingerprint, others)
-        if allowed and self.tracker.is_probing(trial.fingerprint):
+        allowed = logged or self._is_preferred(probe.fingerprint, others)
+        if allowed and self.tracker.is_probing(probe.fingerprint):
             return True
-        self.publish(self.tracker.cancel_probe(trial.fingerprint))
+        self.publish(self.tracker.cancel_probe(probe.fingerprint))
         return False
 
     def _is_preferred(
