--- a/tests/gateway_processes.py
+++ b/tests/gateway_processes.py
@@ -138,7 +138,7 @@
             async with http.get(url) as answer:
                 return await answer.text()
 
-    async def until(self, condition: Callable[[], bool], within_s: float) -> None:
+    async def wait_until(self, condition: Callable[[], bool], within_s: float) -> None:
         """Wait until ``condition`` holds; fail with the end of the log after
         ``within_s``."""
         timeout_at_s = time.monotonic() + within_s
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -314,8 +314,8 @@
     async def test_tokens_of_a_resumed_stream_are_charged_once(self):
         async with _fleet(_broken_stream, _five) as fleet:
             await fleet.ask("/resume/x", **self.headers)
-            book = fleet.gateways[0].share_sync.budgets
-            share = book._shares[T]
+            budgets = fleet.gateways[0].share_sync.budgets
+            share = budgets._shares[T]
             self.assertEqual(share.reserved_tokens, 0)
             self.assertLessEqual(share.spent_tokens, 15)
             self.assertGreaterEqual(share.spent_tokens, 15 - 1)
@@ -405,8 +405,10 @@
             reservations = fleet.gateways[0].share_sync.reservations
             with mock.patch.object(reservations, "reserve", longest_wait):
                 began_s = time.monotonic()
-                asked = fleet.ask("/plain/x", X_Token_Count="1,1", X_Deadline_Ms="200")
-                status = (await asked)[0]
+                pending = fleet.ask(
+                    "/plain/x", X_Token_Count="1,1", X_Deadline_Ms="200"
+                )
+                status = (await pending)[0]
             self.assertEqual((status, _runs(fleet)), (503, 0))
             self.assertLess(time.monotonic() - began_s, 0.4)
 
@@ -456,13 +458,13 @@
 
     async def test_draining_endpoint_gets_no_new_requests(self):
         async with _fleet(_good, _good) as fleet:
-            leaving, staying = fleet.endpoints
-            value = leaving.registration(state="draining")
-            fleet.log.put(ENDPOINTS_TOPIC, leaving.name, value)
+            draining, other = fleet.endpoints
+            value = draining.registration(state="draining")
+            fleet.log.put(ENDPOINTS_TOPIC, draining.name, value)
             await asyncio.sleep(1.0)
             for i in range(6):
                 await fleet.ask("/plain/x", f"r{i}")
-            self.assertEqual((len(leaving.seen), len(staying.seen)), (0, 6))
+            self.assertEqual((len(draining.seen), len(other.seen)), (0, 6))
 
 
 class RestartedEndpointTest(unittest.IsolatedAsyncioTestCase):
@@ -489,10 +491,10 @@
             first = self.endpoint.registration(born=1_000, sequence=9)
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first)
             await asyncio.sleep(0.8)
-            asking = asyncio.create_task(fleet.ask("/once/x"))
+            pending = asyncio.create_task(fleet.ask("/once/x"))
             await fleet.wait_until(lambda: len(self.endpoint.seen) == 1)
             await self._restart(fleet)
-            status, _, _ = await asyncio.wait_for(asking, 1.5)
+            status, _, _ = await asyncio.wait_for(pending, 1.5)
             # The request may have run: it is not sent again, nor refused as not run.
             self.assertEqual(status, 502)
             self.assertEqual(len(self.endpoint.seen), 1)
@@ -524,16 +526,16 @@
         """
         first, second = Endpoint("i-1", _good), Endpoint("i-2", _good)
         async with Fleet(first, second) as fleet:
-            book = fleet.gateways[0].endpoints
+            pool = fleet.gateways[0].endpoints
             for raw in (b"\xff", b"[" * 100_000, first.registration(state="asleep")):
                 fleet.log.put(ENDPOINTS_TOPIC, "i-1", raw)
             fleet.log.put(ENDPOINTS_TOPIC, "i-3", b"{}")
-            await fleet.wait_until(lambda: book.registered_ids() == ["i-2"])
+            await fleet.wait_until(lambda: pool.registered_ids() == ["i-2"])
             for i in range(6):
                 await fleet.ask("/plain/x", f"r{i}")
             self.assertEqual((len(first.seen), len(second.seen)), (0, 6))
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first.registration())
-            await fleet.wait_until(lambda: set(book.registered_ids()) == {"i-1", "i-2"})
+            await fleet.wait_until(lambda: set(pool.registered_ids()) == {"i-1", "i-2"})
 
     async def test_invalid_record_removes_the_only_endpoint_of_a_service(self):
         """Guards against requests to the only endpoint of a service for 1.5 s after
@@ -544,9 +546,9 @@
         """
         only = Endpoint("i-1", _good)
         async with Fleet(only) as fleet:
-            book = fleet.gateways[0].endpoints
+            pool = fleet.gateways[0].endpoints
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", b"{}")
-            await fleet.wait_until(lambda: book.registered_ids() == [])
+            await fleet.wait_until(lambda: pool.registered_ids() == [])
             status, _, _ = await fleet.ask("/plain/x")
             self.assertEqual((status, len(only.seen)), (503, 0))
 
@@ -558,15 +560,15 @@
             return await _good(request)
 
         async with _fleet(slow, gateways=2) as fleet:
-            leaving, other = fleet.gateways
+            draining, other = fleet.gateways
             await fleet.wait_until(
                 lambda: len(other.share_sync.members.live_peers(1e9)) == 1
             )
-            asked = asyncio.create_task(fleet.ask("/once/x"))
+            pending = asyncio.create_task(fleet.ask("/once/x"))
             await fleet.wait_until(lambda: _runs(fleet) == 1)
             fleet.servers[0].stop()
-            await fleet.wait_until(lambda: not leaving.ready)
-            self.assertEqual((await asked)[0], 200)
+            await fleet.wait_until(lambda: not draining.ready)
+            self.assertEqual((await pending)[0], 200)
             late = await fleet.ask("/plain/late", "r2")
             self.assertEqual((late[0], late[1].get("Connection")), (200, "close"))
             await fleet.wait_until(
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -81,7 +81,7 @@
         return list(await asyncio.gather(*asking))
 
     async def in_flight(self, count: int) -> None:
-        await self.gateway.until(lambda: len(self.endpoint.seen) >= count, 3.0)
+        await self.gateway.wait_until(lambda: len(self.endpoint.seen) >= count, 3.0)
 
     def write_settings(self, text: str | bytes | None) -> None:
         """Change the settings file, or remove it."""
@@ -161,7 +161,7 @@
             site.gateway.signal(signal.SIGTERM)
             # Of two pending signals the one with the lower number is delivered first.
             stopping = functools.partial(site.gateway.log_records, "process_stopping")
-            await site.gateway.until(lambda: bool(stopping()), 2.0)
+            await site.gateway.wait_until(lambda: bool(stopping()), 2.0)
             await asyncio.sleep(after_s)
             site.write_settings(settings_text(1, site.store_address, 1.0))
             site.gateway.signal(signal.SIGHUP)
--- a/tests/test_own_end.py
+++ b/tests/test_own_end.py
@@ -25,7 +25,7 @@
     ) -> None:
         async with Site(script) as site:
             asking = [asyncio.create_task(site.ask(path)) for _ in range(4)]
-            await site.gateway.until(lambda: len(site.endpoint.seen) == 4, 3.0)
+            await site.gateway.wait_until(lambda: len(site.endpoint.seen) == 4, 3.0)
             producers = site.log.topic(ENTRIES_TOPIC).producers
             for name, (epoch, number) in list(producers.items()):
                 producers[name] = (epoch + 1, number)
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -147,7 +147,7 @@
 
     async def until_request_arrives(self) -> None:
         """Wait until a request has reached the endpoint."""
-        await self.gateway.until(lambda: bool(self.endpoint.seen), 3.0)
+        await self.gateway.wait_until(lambda: bool(self.endpoint.seen), 3.0)
 
 
 class StopTimesTest(unittest.TestCase):
@@ -232,12 +232,12 @@
         self, script: Script, path: str, status: int
     ) -> None:
         async with Site(script) as site:
-            asking = asyncio.create_task(site.ask(path))
+            pending = asyncio.create_task(site.ask(path))
             await site.until_request_arrives()
             took_s = await self._stop_gateway(site)
             # The request in progress first gets the time that the stop allows.
             self.assertGreater(took_s, GRACE_S * 5 / 6)
-            outcome = await asking
+            outcome = await pending
             self.assertEqual(outcome.status, status)
             # A stream that has begun must be seen as incomplete; any other request
             # gets a complete answer that says that it may have run.
@@ -249,10 +249,10 @@
 
     async def _assert_unread_answer_is_left(self) -> None:
         async with Site(_large_answer) as site:
-            asking = asyncio.create_task(site.ask_without_reading("/plain/x"))
+            pending = asyncio.create_task(site.ask_without_reading("/plain/x"))
             await site.until_request_arrives()
             await self._stop_gateway(site)
-            asking.cancel()
+            pending.cancel()
 
     def test_answer_in_flight_is_sent_completely_before_the_exit(self):
         """Guards against the loss of an answer's last bytes when the process exits."""
@@ -261,10 +261,10 @@
     async def _assert_answer_completed(self) -> None:
         async with Site(_large_answer) as site:
             # The caller reads 8 MB in 5 s.
-            asking = asyncio.create_task(site.ask("/plain/x", 80_000, 0.05))
+            pending = asyncio.create_task(site.ask("/plain/x", 80_000, 0.05))
             await site.until_request_arrives()
             await self._stop_gateway(site)
-            outcome = await asking
+            outcome = await pending
             self.assertEqual((outcome.complete, len(outcome.body)), (True, 8_000_000))
 
     def test_requests_until_the_exit_are_refused_or_answered(self):
@@ -277,13 +277,13 @@
             for i in range(FEWEST):
                 await site.ask("/once/x", request_id=f"before-{i}")
             site.gateway.signal(signal.SIGTERM)
-            asked: dict[str, asyncio.Task[Outcome]] = {}
+            tasks: dict[str, asyncio.Task[Outcome]] = {}
             # Requests are sequential, with gaps in which none is in progress.
             while await site.gateway.wait_for_exit(0.45) is None:
-                name = f"r{len(asked)}"
+                name = f"r{len(tasks)}"
                 task = asyncio.create_task(site.ask("/once/x", request_id=name))
-                asked[name] = task
-            outcomes = {name: await task for name, task in asked.items()}
+                tasks[name] = task
+            outcomes = {name: await task for name, task in tasks.items()}
         ran = {request.headers["X-Attempt-Id"] for request in site.endpoint.seen}
         unanswered = {
             name for name, outcome in outcomes.items() if not outcome.complete
@@ -297,10 +297,10 @@
     async def _assert_exits_without_store(self) -> None:
         async with Site(_slow_answer) as site:
             site.log.silent = True
-            asking = asyncio.create_task(site.ask("/plain/x"))
+            pending = asyncio.create_task(site.ask("/plain/x"))
             await site.until_request_arrives()
             await self._stop_gateway(site)
-            await asking
+            await pending
 
     def test_other_entries_learn_of_a_stop_while_the_store_is_unreachable(self):
         """Guards against a planned stop that other entries learn of through the log
--- a/tests/test_planned_stop_review.py
+++ b/tests/test_planned_stop_review.py
@@ -152,12 +152,12 @@
         self, grace_s: float, script: Script, path: str
     ) -> None:
         async with Site(script, grace_s) as site:
-            asking = asyncio.create_task(site.ask(path))
+            pending = asyncio.create_task(site.ask(path))
             await site.until_request_arrives()
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
             await _wait_for_exit(site, began_s)
-            outcome = await asking
+            outcome = await pending
             self.assertEqual(outcome.complete, path == "/once/x")
 
     def test_incomplete_request_body_does_not_delay_the_exit(self):
@@ -185,13 +185,13 @@
 
     async def _assert_exits_with_unread_stream(self) -> None:
         async with Site(_wide_stream) as site:
-            asking = asyncio.create_task(site.ask_without_reading("/stream/x"))
+            pending = asyncio.create_task(site.ask_without_reading("/stream/x"))
             await site.until_request_arrives()
             await asyncio.sleep(1.0)
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
             await _wait_for_exit(site, began_s)
-            asking.cancel()
+            pending.cancel()
 
     def test_combined_delays_fit_the_grace_time(self):
         """Guards against stages of a stop that fit the grace time only one by one."""
@@ -199,11 +199,11 @@
 
     async def _assert_exits_despite_all_delays(self) -> None:
         async with Site(_by_path) as site:
-            asking = [
+            pending = [
                 asyncio.create_task(site.ask_without_reading(path))
                 for path in ("/plain/x", "/stream/x", "/resume/x")
             ]
-            asking.append(asyncio.create_task(site.ask("/once/x")))
+            pending.append(asyncio.create_task(site.ask("/once/x")))
             host, port = site.gateway.front_address.split(":")
             _, writer = await asyncio.open_connection(host, int(port))
             head = "".join(f"{name}: {value}\r\n" for name, value in HEADERS.items())
@@ -215,9 +215,9 @@
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
             await _wait_for_exit(site, began_s)
-            for task in asking[:-1]:
+            for task in pending[:-1]:
                 task.cancel()
-            self.assertEqual((await asking[-1]).status, 504)
+            self.assertEqual((await pending[-1]).status, 504)
             writer.close()
 
     def test_signals_during_a_stop_have_no_effect(self):
@@ -226,14 +226,14 @@
 
     async def _assert_signals_ignored(self) -> None:
         async with Site(_long_stream) as site:
-            asking = asyncio.create_task(site.ask("/stream/x"))
+            pending = asyncio.create_task(site.ask("/stream/x"))
             await site.until_request_arrives()
             began_s = time.monotonic()
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 site.gateway.signal(number)
                 await asyncio.sleep(0.3)
             self.assertGreater(await _wait_for_exit(site, began_s), GRACE_S * 5 / 6)
-            self.assertFalse((await asking).complete)
+            self.assertFalse((await pending).complete)
 
     def test_process_that_starts_without_a_log_can_be_stopped(self):
         """Guards against a process that cannot be stopped before it is ready."""
@@ -244,7 +244,7 @@
             await site.gateway.kill()
             site.log.silent = True
             await site.gateway.spawn()
-            await site.gateway.until(
+            await site.gateway.wait_until(
                 lambda: len(site.gateway.log_records("process_started")) == 2, 10.0
             )
             began_s = time.monotonic()
@@ -257,7 +257,7 @@
 
     async def _assert_fenced_stop_finishes(self) -> None:
         async with Site(_long_stream) as site:
-            asking = asyncio.create_task(site.ask("/stream/x"))
+            pending = asyncio.create_task(site.ask("/stream/x"))
             await site.until_request_arrives()
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
@@ -266,7 +266,7 @@
             for name, (epoch, number) in list(producers.items()):
                 producers[name] = (epoch + 1, number)
             self.assertGreater(await _wait_for_exit(site, began_s), GRACE_S * 5 / 6)
-            self.assertFalse((await asking).complete)
+            self.assertFalse((await pending).complete)
 
     @params((_long_stream, "/stream/x", 200), (_slow_answer, "/once/x", 504))
     def test_slow_process_exits_within_the_grace_time(self, script, path, status):
@@ -277,14 +277,14 @@
         self, script: Script, path: str, status: int
     ) -> None:
         async with Site(script) as site:
-            asking = asyncio.create_task(site.ask(path))
+            pending = asyncio.create_task(site.ask(path))
             await site.until_request_arrives()
             slowing = asyncio.create_task(_slow_down(site))
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
             await _wait_for_exit(site, began_s)
             slowing.cancel()
-            outcome = await asking
+            outcome = await pending
             self.assertEqual(
                 (outcome.status, outcome.complete), (status, status == 504)
             )
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -279,16 +279,16 @@
             for i in range(1_200):
                 other = endpoint.registration(service="other")
                 fleet.log.put(ENDPOINTS_TOPIC, f"other{i}", other)
-            leaving = endpoint.registration(state="draining")
-            fleet.log.put(ENDPOINTS_TOPIC, "a", leaving)
-            left_s = time.monotonic()
+            draining = endpoint.registration(state="draining")
+            fleet.log.put(ENDPOINTS_TOPIC, "a", draining)
+            drained_at_s = time.monotonic()
             statuses = set()
-            while time.monotonic() < left_s + 5.0:
+            while time.monotonic() < drained_at_s + 5.0:
                 status, _, _ = await fleet.ask("/plain/x")
                 statuses.add(status)
                 await asyncio.sleep(0.05)
         self.assertEqual(statuses, {200, 503})
-        self.assertLess(max(served_s) - left_s, LEAVING_KNOWN_S + 0.1)
+        self.assertLess(max(served_s) - drained_at_s, LEAVING_KNOWN_S + 0.1)
 
     async def test_transfer_time_counts_towards_the_age_of_registrations(self):
         """Guards against requests to an endpoint 3.7 s after the confirmation that it
@@ -303,7 +303,7 @@
             gateway = fleet.gateways[0]
             fleet.log.down = True
             known_at_s = gateway.endpoints_known_at_s
-            for took_s, age_s, late in (
+            for took_s, age_s, stale in (
                 (0.0, LEAVING_KNOWN_S - 0.1, False),
                 (0.0, LEAVING_KNOWN_S + 0.1, True),
                 (0.6, LEAVING_KNOWN_S - 0.7, False),
@@ -311,7 +311,7 @@
             ):
                 gateway.endpoints_read_time_s = took_s
                 gateway.endpoints_reachable = True
-                self.assertIs(gateway.is_endpoint_view_stale(known_at_s + age_s), late)
+                self.assertIs(gateway.is_endpoint_view_stale(known_at_s + age_s), stale)
 
     async def test_read_of_registrations_measures_the_transfer_time(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
