--- a/bench/prepaid_bench.py
+++ b/bench/prepaid_bench.py
@@ -1,8 +1,8 @@
-"""How much of prepaid totals is delivered under faults, in modelled time.
+"""How much of prepaid totals is delivered under faults, in virtual time.
 
 ``python -m bench.prepaid_bench [--entries 9,76] [--seeds 3] [--only NAME]
-[--jobs 4] [--json FILE] [--against FILE --plot FILE]`` runs the real book, keeper
-and reservations of each entry on a modelled log. Overspent tokens must be 0 in
+[--jobs 4] [--json FILE] [--against FILE --plot FILE]`` runs the real budgets, row
+task and reservations of each entry on a modelled log. Overspent tokens must be 0 in
 every row.
 """
 
@@ -44,13 +44,13 @@
 
 
 def play(scenario: Scenario, seed: int) -> Outcome:
-    """Play one scenario with one seed."""
+    """Run one scenario with one seed."""
     logging.disable(logging.CRITICAL)
     return run_virtual(PrepaidFleet(scenario, seed).run())
 
 
 def row(scenario: Scenario, outcomes: list[Outcome]) -> dict[str, object]:
-    """The means of several outcomes, as one row of the table."""
+    """The means of several outcomes as one row of the table."""
 
     def mean(field: str) -> float:
         return statistics.fmean(getattr(o, field) for o in outcomes)
@@ -74,7 +74,7 @@
 def plot(
     before: list[dict[str, object]], after: list[dict[str, object]], to: str
 ) -> None:
-    """Draw what was refused of what was owed, before and after, by scenario."""
+    """Draw the refused share of owed requests by scenario, before and after."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bench/restore_bench.py
+++ b/bench/restore_bench.py
@@ -1,10 +1,10 @@
-"""What a log that comes back from an older copy costs, in modelled time.
+"""What a restore of the log from an older backup costs, in virtual time.
 
 ``python -m bench.restore_bench [--entries 9,76,195] [--seeds 20] [--only NAME]
-[--jobs 3] [--json FILE] [--against FILE --plot FILE]`` plays each kind of return with
-the real keepers, and the same run without it. Overspent tokens must be 0 in every
-row in which no entry loses power: what one had spent since the copy goes with its
-memory.
+[--jobs 3] [--json FILE] [--against FILE --plot FILE]`` runs each kind of restore with
+the real entry tasks, and the same run without it. Overspent tokens must be 0 in every
+row in which no entry loses power: an entry that does forgets what it spent since the
+backup.
 """
 
 import concurrent.futures
@@ -26,12 +26,12 @@
 
 AT_S, AWAY_S = 10.0, 0.5
 WRITES_PER_S = {9: 600, 76: 1_500, 195: 3_200}
-"""What the log takes of all entries together, by their number."""
+"""Most writes per second that the log takes, by the number of entries."""
 TOLD = {195: 15}
-"""How many entries callers are told of, where it is not all of them."""
+"""Number of announced entries, where it is not all of them."""
 COMPARED_S = 16.0
-"""Totals are used up about then: little is owed after it."""
-ROWS_MOST = 50_000
+"""Totals are used up about then, and little is owed afterwards."""
+MAX_CACHED_ROWS = 50_000
 
 
 def _restored(loses_s: float, at_s: float = AT_S) -> Fault:
@@ -47,7 +47,7 @@
 
 WITHOUT = "no fault"
 RUNS: tuple[tuple[str, tuple[Fault, ...], str], ...] = (
-    # name, faults, the same run without the return
+    # name, faults, the same run without the restore
     (WITHOUT, (), WITHOUT),
     ("away, nothing lost", (_AWAY,), WITHOUT),
     ("loses 0.5 s", (_restored(0.5),), WITHOUT),
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class Played:
-    """What one run came to."""
+    """The results of one run."""
 
     overspent_tokens: int
     delivered_share: float
@@ -76,7 +76,7 @@
 
 
 def scenario(name: str, faults: tuple[Fault, ...], entries: int) -> Scenario:
-    """One run of a fleet; totals are used up some seconds after the fault."""
+    """One run of a fleet whose totals are used up some seconds after the fault."""
     return Scenario(
         name,
         entries=entries,
@@ -89,7 +89,7 @@
 
 
 def play(run: Scenario, seed: int) -> Played:
-    """Play one scenario with one seed."""
+    """Run one scenario with one seed."""
     logging.disable(logging.CRITICAL)
     _decode_once()
     outcome = run_virtual(PrepaidFleet(run, seed).run())
@@ -105,20 +105,20 @@
 
 @functools.cache
 def _decode_once() -> None:
-    """Have a row that every entry reads decoded once."""
-    decode = functools.lru_cache(ROWS_MOST)(share_keeper.decode_member)
+    """Decode each row once, not once per entry that reads it."""
+    decode = functools.lru_cache(MAX_CACHED_ROWS)(share_keeper.decode_member)
     share_keeper.decode_member = decode  # type: ignore[assignment]
 
 
-def _over_s(faults: tuple[Fault, ...]) -> float:
-    """When the last fault is over, but for the cut, which outlasts the totals."""
+def _fault_end_s(faults: tuple[Fault, ...]) -> float:
+    """When the last fault ends, except partitions, which outlast the totals."""
     ends_s = (f.at_s + f.for_s for f in faults if f.kind is not FaultKind.CUT)
     return max(ends_s, default=AT_S)
 
 
 def row(run: Scenario, plays: list[Played], without: list[Played]) -> dict[str, object]:
-    """Several runs as one row of the table; ``without`` are those without the return,
-    by the same seeds."""
+    """Several runs as one row of the table; ``without`` are the runs without the
+    restore, with the same seeds."""
 
     def mean(field: str) -> float:
         return statistics.fmean(getattr(p, field) for p in plays)
@@ -143,10 +143,10 @@
 
 
 def _normal_again_s(run: Scenario, plays: list[Played], without: list[Played]) -> float:
-    back_s = _over_s(run.faults)
+    over_s = _fault_end_s(run.faults)
     played = [request for play in plays for request in play.requests]
     usual = [request for play in without for request in play.requests]
-    return normal_again_s(played, usual, back_s, COMPARED_S)
+    return normal_again_s(played, usual, over_s, COMPARED_S)
 
 
 def _rows(entries: int, only: str, seeds: int, jobs: int) -> list[dict[str, object]]:
@@ -162,14 +162,14 @@
         for name, _, without in RUNS:
             if name in runs:
                 played = [p.result() for p in plays[name]]
-                beside = [p.result() for p in plays[without]]
-                rows.append(row(runs[name], played, beside))
+                baseline = [p.result() for p in plays[without]]
+                rows.append(row(runs[name], played, baseline))
                 print_row(rows[-1])
     return rows
 
 
 def main() -> int:
-    """Play the runs and print their rows."""
+    """Run all scenarios and print their rows."""
     args = make_parser(__doc__, entries="9,76,195", seeds=20, jobs=3).parse_args()
     rows = []
     for entries in map(int, args.entries.split(",")):
--- a/bench/rows.py
+++ b/bench/rows.py
@@ -1,4 +1,4 @@
-"""The options of benches that print rows of figures, and what becomes of the rows."""
+"""Options and output of benchmarks that print rows of figures."""
 
 import argparse
 import json
@@ -6,13 +6,13 @@
 
 Row = dict[str, object]
 Plot = Callable[[list[Row], list[Row], str], None]
-"""Takes the rows before, the rows after and the picture's file."""
+"""Called with the earlier rows, the present rows and the picture's file."""
 
 
 def make_parser(
     description: str | None, entries: str, seeds: int, jobs: int
 ) -> argparse.ArgumentParser:
-    """Reads the options, with these for those that are not given."""
+    """A parser of the common options with these defaults."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--entries", default=entries)
     parser.add_argument("--seeds", type=int, default=seeds)
@@ -25,12 +25,12 @@
 
 
 def print_row(row: Row) -> None:
-    """Print one row as soon as it is known."""
+    """Print one row."""
     print(" ".join(f"{k}={v}" for k, v in row.items()), flush=True)
 
 
 def keep_rows(rows: list[Row], args: argparse.Namespace, plot: Plot) -> None:
-    """Write and plot the rows as the options ask."""
+    """Write and plot the rows as the options say."""
     if args.json:
         with open(args.json, "w") as file:
             json.dump(rows, file, indent=1)
--- a/bench/rows_bench.py
+++ b/bench/rows_bench.py
@@ -1,8 +1,8 @@
-"""What rows cost an entry in processor time, by the size of the fleet.
+"""Processor time that rows cost an entry, by the size of the fleet.
 
-``python -m bench.rows_bench [--entries 9,64,300] [--accounts 24]`` drives the real
-book, member view and row format, and prints, in microseconds: for each row read
-(decoded and folded), for each row written (planned and made), for the logged summary.
+``python -m bench.rows_bench [--entries 9,64,300] [--accounts 24]`` runs the real
+budgets, membership view and row format. It prints the microseconds per row read
+(decoded and folded), per row written (planned and made), and per logged summary.
 """
 
 import argparse
@@ -43,34 +43,34 @@
 
 
 def measure(entries: int, account_count: int) -> dict[str, float]:
-    """The figures of one size of fleet."""
+    """The figures for one fleet size."""
     accounts = [AccountId(f"account{i:02}") for i in range(account_count)]
-    book, view = PrepaidBudgets(EntryId("me")), MemberView(EntryId("me"))
-    book.set_totals(dict.fromkeys(accounts, TOTAL_TOKENS))
-    book.adopt(None)
+    budgets, view = PrepaidBudgets(EntryId("me")), MemberView(EntryId("me"))
+    budgets.set_totals(dict.fromkeys(accounts, TOTAL_TOKENS))
+    budgets.adopt(None)
     rows = [_row(i % entries, float(i), accounts) for i in range(ROUNDS * entries)]
 
     def read() -> None:
         for i, raw in enumerate(rows):
             member = decode_member(f"e{i % entries}", raw)
             view.fold(member, member.made_s)
-            book.fold(member.entry_id, member.shares)
+            budgets.fold(member.entry_id, member.shares)
 
     def write() -> None:
-        book.plan(entries, 1.0)
-        row = book.make_row(1.0)
-        book.fold(EntryId("me"), row)
-        book.confirm_row()
+        budgets.plan(entries, 1.0)
+        row = budgets.make_row(1.0)
+        budgets.fold(EntryId("me"), row)
+        budgets.confirm_row()
 
     return {
         "read_us": _each_us(1, read) / len(rows),
         "write_us": _each_us(50, write),
-        "summary_us": _each_us(50, lambda: book.summary(1.0)),
+        "summary_us": _each_us(50, lambda: budgets.summary(1.0)),
     }
 
 
 def main() -> None:
-    """Print a line for each size."""
+    """Print a line for each fleet size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", default="9,64,300")
     parser.add_argument("--accounts", type=int, default=24)
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -1,4 +1,4 @@
-"""One modelled instance and the entry process on it."""
+"""A modelled instance and the entry process on it."""
 
 import asyncio
 import random
@@ -16,24 +16,23 @@
 from celerytrack.prepaid import AccountClaim
 
 PEER_S = 0.001
-"""Way from entry to entry and back."""
+"""Round trip between two entries."""
 START_S = 0.15
-"""Time a process takes from its start to its first call."""
+"""Time from the start of a process to its first call."""
 BOOT_STEADY_S = 50_000.0
-"""A steady clock after a new start of its instance is elsewhere at random, within
-this."""
+"""Upper bound of the random monotonic clock reading after a restart of an instance."""
 _T = TypeVar("_T")
 
 
 class _Gifts:
-    """Asks modelled entries for tokens."""
+    """Requests tokens from modelled entries."""
 
     def __init__(self, me: "ModelEntry", fleet: Sequence["ModelEntry"]) -> None:
         self._me = me
         self._fleet = fleet
 
     async def ask(self, address: str, account: AccountId, tokens: int) -> int:
-        """What the entry at ``address``, its number, gave."""
+        """Tokens that the entry at ``address``, which is its number, transferred."""
         other = self._fleet[int(address)]
         if self._me.apart or other.apart or other.reservations is None:
             await asyncio.sleep(ASK_TIMEOUT_S)
@@ -45,7 +44,7 @@
     async def ask_row(
         self, address: str, me: EntryId
     ) -> Mapping[AccountId, AccountClaim]:
-        """What the entry at ``address`` knows of the row of ``me``."""
+        """The row of ``me`` as the entry at ``address`` knows it."""
         other = self._fleet[int(address)]
         if self._me.apart or other.apart or other.keeper is None:
             await asyncio.sleep(ASK_TIMEOUT_S)
@@ -55,14 +54,14 @@
 
 
 class ModelEntry:
-    """One modelled instance and the process on it.
+    """A modelled instance and the entry process on it.
 
-    :param number: its place in the fleet.
-    :param totals: the total of each account.
-    :param fleet: all entries, this one included.
-    :param link_mbps: what its link carries; 0 if it is not told.
-    :ivar apart: no other entry reaches it, and it reaches none.
-    :ivar reservations: what callers ask; ``None`` while it does not serve.
+    :param number: its index in the fleet.
+    :param totals: returns the total of each account.
+    :param fleet: all entries, including this one.
+    :param link_mbps: capacity of its link; 0 if unknown.
+    :ivar apart: whether it is partitioned from all other entries.
+    :ivar reservations: serves callers' requests; ``None`` while it does not serve.
     """
 
     def __init__(
@@ -85,7 +84,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Start the process anew and wait until it serves."""
+        """Start a new process and wait until it serves."""
         loop = asyncio.get_running_loop()
         self.store.eras = eras = EraTracker()
         keeper = ShareKeeper(
@@ -115,7 +114,7 @@
         return task
 
     def lose_power(self, rng: random.Random) -> None:
-        """End the process; the steady clock begins elsewhere."""
+        """End the process and reset the monotonic clock to a random reading."""
         for task in list(self._tasks):
             task.cancel()
         self.reservations = self.keeper = None
--- a/src/celerytrack/lab/model_log.py
+++ b/src/celerytrack/lab/model_log.py
@@ -1,5 +1,5 @@
-"""The platform's keyed log as a model: delays, cuts, lost and late answers, and a
-return from an older copy."""
+"""A model of the platform's keyed log: delays, partitions, lost and late replies, and
+restores from an older backup."""
 
 import asyncio
 import random
@@ -20,15 +20,15 @@
 )
 
 ANSWER_S = 0.004
-"""Time the store takes to answer a call."""
-_SILENCE = Failure(StoreError(StoreErrorKind.UNREACHABLE, "no answer"))
+"""Time that the store takes to reply to a call."""
+_NO_REPLY = Failure(StoreError(StoreErrorKind.UNREACHABLE, "no answer"))
 _T = TypeVar("_T")
-_AWAY = Failure(StoreError(StoreErrorKind.REFUSED, "503"))
+_UNAVAILABLE = Failure(StoreError(StoreErrorKind.REFUSED, "503"))
 
 
 @attrs.frozen
 class LogCopy:
-    """What a log held at one time."""
+    """A backup: the content of a log at one time."""
 
     records: tuple[tuple[str, bytes], ...]
     producers: dict[str, tuple[int, int]]
@@ -37,14 +37,14 @@
 
 @attrs.define
 class ModelLog:
-    """One topic, shared by all modelled entries.
-
-    :ivar late_s: how much longer an append takes to land.
-    :ivar lost_share: share of reads and appends that are done and not answered.
-    :ivar appends: appends so far; ``bytes_in`` and ``bytes_out`` what was sent.
-    :ivar away: every call is refused.
-    :ivar era: rises by one each time the log comes back from an older copy.
-    :ivar asked_s: when each append arrived, whatever became of it.
+    """One topic that all modelled entries share.
+
+    :ivar late_s: additional time before an append lands.
+    :ivar lost_share: share of reads and appends that are executed without a reply.
+    :ivar appends: appends so far; ``bytes_in`` and ``bytes_out`` count their traffic.
+    :ivar away: whether every call is refused.
+    :ivar era: rises by one with each restore from an older backup.
+    :ivar asked_s: when each append arrived, whatever its result.
     """
 
     rng: random.Random
@@ -62,11 +62,11 @@
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def copy(self) -> LogCopy:
-        """What the log holds now."""
+        """A backup of the present content."""
         return LogCopy(tuple(self.records), dict(self.producers), dict(self.offsets))
 
     def restore(self, older: LogCopy) -> None:
-        """Hold what ``older`` does: what came after it is gone."""
+        """Restore the backup ``older``; records appended since are lost."""
         self.records = list(older.records)
         self.producers = dict(older.producers)
         self.offsets = dict(older.offsets)
@@ -74,13 +74,13 @@
         self.wake_readers()
 
     def append(self, key: str, value: bytes, writer: Writer) -> Result[int, StoreError]:
-        """Append one record, in the order of its writer's numbers."""
+        """Append one record, in the order of its writer's sequence numbers."""
         epoch, expected = self.producers.get(writer.name, (0, 0))
         if writer.epoch < epoch:
             return Failure(StoreError(StoreErrorKind.FENCED, "fenced"))
         numbered = (writer.name, writer.epoch, writer.sequence)
         if numbered in self.offsets:
-            # A repeat gets the answer of the first.
+            # A repeat gets the reply of the first append.
             return Success(self.offsets[numbered])
         if writer.epoch == epoch and writer.sequence != expected:
             kind = StoreErrorKind.OUT_OF_SEQUENCE
@@ -94,7 +94,7 @@
         return Success(len(self.records) - 1)
 
     def set_epoch(self, writer: Writer) -> Result[None, StoreError]:
-        """Fence off appends of lower epochs of the same writer."""
+        """Fence off appends of lower epochs by the same writer."""
         epoch, _ = self.producers.get(writer.name, (0, 0))
         if writer.epoch < epoch:
             return Failure(StoreError(StoreErrorKind.FENCED, "fenced"))
@@ -102,16 +102,16 @@
         return Success(None)
 
     def wake_readers(self) -> None:
-        """Have held reads look again."""
+        """Wake the reads that wait for records."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class ModelStore:
-    """What the real store client offers, for one entry.
+    """One entry's client of the modelled log, with the real client's interface.
 
-    :ivar cut: nothing gets through, either way.
-    :ivar eras: told the era of each answer; a new one for each start of the entry.
+    :ivar cut: whether the entry is partitioned from the log.
+    :ivar eras: observes the era of each reply; a new one per incarnation of the entry.
     """
 
     def __init__(self, log: ModelLog) -> None:
@@ -130,7 +130,7 @@
         wait_s: float = 0.0,
         arriving: asyncio.Event | None = None,
     ) -> Result[Batch, StoreError]:
-        """Records from ``offset`` on, once there is one or ``wait_s`` have passed."""
+        """Records from ``offset`` on, once there is one or ``wait_s`` has passed."""
         if wait_s and not self.cut and not self._log.away:
             await self._hold(offset, wait_s)
         return await self._call(ANSWER_S, lambda: self._records(offset))
@@ -146,7 +146,7 @@
             return
 
     async def end(self, topic: str, last_key: str) -> Result[int, StoreError]:
-        """The offset behind the last record."""
+        """The offset after the last record."""
         log = self._log
         return await self._call(
             ANSWER_S, lambda: Success(len(log.records)), may_be_lost=False
@@ -155,7 +155,7 @@
     async def append(
         self, topic: str, key: str, value: bytes, writer: Writer
     ) -> Result[int, StoreError]:
-        """Append one record; its offset."""
+        """Append one record; returns its offset."""
         log = self._log
         log.asked_s.append(asyncio.get_running_loop().time())
         return await self._call(
@@ -163,10 +163,10 @@
         )
 
     async def close(self) -> None:
-        """There is nothing to close."""
+        """Do nothing: there is nothing to close."""
 
     async def set_epoch(self, topic: str, writer: Writer) -> Result[None, StoreError]:
-        """Fence off earlier starts."""
+        """Fence off earlier incarnations."""
         log = self._log
         log.asked_s.append(asyncio.get_running_loop().time())
         return await self._call(ANSWER_S + log.late_s, lambda: log.set_epoch(writer))
@@ -174,24 +174,24 @@
     async def _call(
         self,
         takes_s: float,
-        answer: Callable[[], Result[_T, StoreError]],
+        execute: Callable[[], Result[_T, StoreError]],
         may_be_lost: bool = True,
     ) -> Result[_T, StoreError]:
-        """What the log answers after ``takes_s``, if it does."""
-        asked_at = self.eras.changes
+        """The log's reply after ``takes_s``, or a failure without one."""
+        changes_at_call = self.eras.changes
         if self.cut:
             await asyncio.sleep(CALL_TIMEOUT_S)
-            return _SILENCE
+            return _NO_REPLY
         await asyncio.sleep(takes_s)
         if self.cut:
-            return _SILENCE
-        result = _AWAY if self._log.away else answer()
+            return _NO_REPLY
+        result = _UNAVAILABLE if self._log.away else execute()
         era = Era(self._log.era)
         if may_be_lost and self._log.rng.random() < self._log.lost_share:
-            # Found out by the time limit.
+            # The caller notices only by the timeout.
             await asyncio.sleep(CALL_TIMEOUT_S)
-            return _SILENCE
-        if self.eras.observe(era, asked_at, time.monotonic()) is EraStatus.LATE:
+            return _NO_REPLY
+        if self.eras.observe(era, changes_at_call, time.monotonic()) is EraStatus.LATE:
             return Failure(StoreError(StoreErrorKind.OLDER_ERA, f"era {era}"))
         return result
 
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of entries that share prepaid totals, in modelled time.
+"""A fleet of entries that share prepaid totals, in virtual time.
 
-The real keeper of rows, reservations and book run on a modelled log, with
-modelled callers; engines are a time that each answer takes. What was really
-spent is counted apart from the entries, as a total's owner would.
+The real row task, reservations and budgets run on a modelled log with modelled
+callers; an engine is modelled by the duration of its response. Actual spending is
+counted independently of the entries, as the owner of a total would.
 """
 
 import asyncio
@@ -30,12 +30,12 @@
 from celerytrack.verdict import Reason
 
 OWED_SHARE = 0.97
-"""Part of a total into which a request must fit to be owed."""
+"""Share of a total into which a request must fit to be owed."""
 SETTLE_S = 1.5
-"""A request that ended less than this ago counts at its most in what is owed."""
+"""Until this long after its end, a request counts with its largest possible cost."""
 WIDE_MBPS, NARROW_MBPS = 100.0, 5.0
-LARGEST_TIMES = 6
-"""The largest prompt against the median one: 39,600 of 6,500 tokens as listed."""
+LARGEST_FACTOR = 6
+"""Ratio of the largest to the median prompt: 39,600 to 6,500 tokens as listed."""
 
 
 @attrs.define
@@ -43,7 +43,7 @@
     total: int
     spent: int = 0
     asked: int = 0
-    # At their most: requests on their way or just ended.
+    # Largest possible cost of requests that are in flight or have just ended.
     unsettled: int = 0
 
     def owes(self, tokens: int) -> bool:
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class _Request:
-    """One request: what it reserves at most, and what it will use."""
+    """One request: its largest possible cost and its actual use."""
 
     work: Work
     account: AccountId
@@ -96,7 +96,7 @@
         return {name: account.total for name, account in self.accounts.items()}
 
     async def run(self) -> Outcome:
-        """Play the scenario."""
+        """Run the scenario."""
         await asyncio.gather(*(self._start(e) for e in self.entries))
         self._began_s = began_s = asyncio.get_running_loop().time()
         tasks = [asyncio.create_task(self._fault(f)) for f in self.scenario.faults]
@@ -124,32 +124,32 @@
 
     async def _fault(self, fault: Fault) -> None:
         if fault.kind in (FaultKind.AWAY, FaultKind.RESTORED):
-            await self._log_away(fault)
+            await self._log_fault(fault)
             return
         await asyncio.sleep(fault.at_s)
         count = max(1, round(fault.share * len(self.entries)))
-        struck = self.rng.sample(self.entries, count)
+        affected = self.rng.sample(self.entries, count)
         if fault.kind is FaultKind.POWER:
-            for entry in struck:
+            for entry in affected:
                 entry.lose_power(self.rng)
             await asyncio.sleep(fault.for_s)
-            await asyncio.gather(*(self._start(entry) for entry in struck))
+            await asyncio.gather(*(self._start(entry) for entry in affected))
             return
-        for entry in struck:
+        for entry in affected:
             entry.store.cut = True
             entry.apart = fault.kind is FaultKind.CUT
         await asyncio.sleep(fault.for_s)
-        for entry in struck:
+        for entry in affected:
             entry.store.cut = entry.apart = False
 
-    async def _log_away(self, fault: Fault) -> None:
+    async def _log_fault(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s - fault.loses_s)
-        copy = self.log.copy()
+        backup = self.log.copy()
         await asyncio.sleep(fault.loses_s)
         self.log.away = True
         await asyncio.sleep(fault.for_s)
         if fault.kind is FaultKind.RESTORED:
-            self.log.restore(copy)
+            self.log.restore(backup)
         self.log.away = False
 
     # -- callers ------------------------------------------------------------
@@ -173,11 +173,11 @@
     def _draw(self, work: Work, name: AccountId) -> _Request:
         size = math.exp(self.rng.gauss(0, work.spread)) * work.input_tokens
         share = min(1.0, self.rng.expovariate(1) * work.output_share)
-        inputs = int(min(size, LARGEST_TIMES * work.input_tokens))
+        inputs = int(min(size, LARGEST_FACTOR * work.input_tokens))
         return _Request(work, name, inputs, int(work.output_most * share))
 
     async def _call(self, work: Work, name: AccountId) -> None:
-        """One caller: a request, and once more if it is refused."""
+        """One caller: sends a request, and once more if it is refused."""
         loop = asyncio.get_running_loop()
         request = self._draw(work, name)
         sent_s = loop.time()
@@ -186,15 +186,15 @@
             up = [e for e in self._reached(name) if e.reservations is not None]
             if not up:
                 break
-            after_s = await self._try(self.rng.choice(up), request)
-            if after_s == 0.0:
+            retry_after_s = await self._try(self.rng.choice(up), request)
+            if retry_after_s == 0.0:
                 first_s = loop.time() - sent_s - work.takes_s
                 self._answered(request, owed, sent_s, first_s)
                 return
-            if after_s is None or last:
+            if retry_after_s is None or last:
                 break
             left_s = work.deadline_s - (loop.time() - sent_s)
-            await asyncio.sleep(min(after_s, left_s / 3))
+            await asyncio.sleep(min(retry_after_s, left_s / 3))
         self.outcome.refused += owed
         self._note(owed, sent_s, in_target=False)
 
@@ -203,14 +203,14 @@
             self.outcome.requests.append(Owed(sent_s - self._began_s, in_target))
 
     def _reached(self, name: AccountId) -> list[ModelEntry]:
-        """The entries that callers of an account connect to."""
+        """The entries that an account's callers connect to."""
         rank = self._names.index(name)
         if rank < self.scenario.kept:
             return [self.entries[-1 - rank]]
         return self.entries[: self.scenario.told]
 
     def _asked(self, request: _Request) -> bool:
-        """Count a request; whether it is owed."""
+        """Count a request; returns whether it is owed."""
         account = self.accounts[request.account]
         owed = account.owes(request.most_tokens)
         account.asked += request.most_tokens
@@ -222,7 +222,7 @@
     def _answered(
         self, request: _Request, owed: bool, sent_s: float, first_s: float
     ) -> None:
-        # An engine takes about half of the target itself.
+        # An engine itself takes about half of the target.
         in_target = owed and first_s <= request.work.target_s / 2
         self.outcome.in_target += in_target
         self.outcome.in_target_tokens += in_target * request.most_tokens
@@ -230,7 +230,7 @@
         self._note(owed, sent_s, in_target)
 
     async def _try(self, entry: ModelEntry, request: _Request) -> float | None:
-        """One try: 0 if it was answered, else when to come back, if at all."""
+        """One try: 0 if it succeeded, else the delay before a retry, if any."""
         try:
             return await entry.keep(self._serve(entry, request))
         except asyncio.CancelledError:
@@ -260,26 +260,26 @@
         request: _Request,
         held: Reservation,
     ) -> None:
-        """An engine's answer; what was delivered counts even if it is cut."""
+        """An engine's response; delivered tokens count even if it is aborted."""
         account = self.accounts[request.account]
         loop = asyncio.get_running_loop()
         rest = held.tokens - request.input_tokens
         account.spent += request.input_tokens
         account.unsettled += rest
         began_s = loop.time()
-        given = request.output_tokens
+        delivered = request.output_tokens
         try:
             await asyncio.sleep(request.work.takes_s)
             now_s = loop.time() + entry.clock.steady_ahead_s
-            keeper.book.commit(held, request.input_tokens + given, now_s)
+            keeper.book.commit(held, request.input_tokens + delivered, now_s)
         except asyncio.CancelledError:
             part = min(1.0, (loop.time() - began_s) / request.work.takes_s)
-            given = int(given * part)
+            delivered = int(delivered * part)
             raise
         finally:
-            account.spent += given
-            account.unsettled -= given
-            loop.call_later(SETTLE_S, self._settled, account, rest - given)
+            account.spent += delivered
+            account.unsettled -= delivered
+            loop.call_later(SETTLE_S, self._settled, account, rest - delivered)
 
     @staticmethod
     def _settled(account: _Account, tokens: int) -> None:
@@ -289,10 +289,12 @@
         outcome = self.outcome
         accounts = self.accounts.items()
         outcome.overspent_tokens = sum(max(0, a.spent - a.total) for _, a in accounts)
-        dry = {name: a for name, a in accounts if a.asked > a.total}
-        outcome.delivered_shares = {n: a.spent / a.total for n, a in dry.items()}
-        total = sum(a.total for a in dry.values())
-        outcome.delivered_share = sum(a.spent for a in dry.values()) / max(1, total)
+        exhausted = {name: a for name, a in accounts if a.asked > a.total}
+        outcome.delivered_shares = {n: a.spent / a.total for n, a in exhausted.items()}
+        total = sum(a.total for a in exhausted.values())
+        outcome.delivered_share = sum(a.spent for a in exhausted.values()) / max(
+            1, total
+        )
         outcome.appends_per_s = self.log.appends / took_s
         outcome.bytes_in_per_s = self.log.bytes_in / took_s
         outcome.bytes_out_per_s = self.log.bytes_out / took_s
--- a/src/celerytrack/lab/prepaid_scenarios.py
+++ b/src/celerytrack/lab/prepaid_scenarios.py
@@ -1,4 +1,4 @@
-"""Loads and faults that a modelled fleet of entries is played under."""
+"""Loads and faults for a modelled fleet of entries."""
 
 import enum
 
@@ -12,10 +12,10 @@
 class Work:
     """One class of requests.
 
-    :ivar per_s: requests a second in all.
-    :ivar input_tokens: median size of the prompt, with ``spread`` (of the
-        logarithm); ``output_most`` is reserved, ``output_share`` of it delivered.
-    :ivar takes_s: how long an answer takes; ``target_s`` until its first piece.
+    :ivar per_s: requests per second of the whole fleet.
+    :ivar input_tokens: median prompt size; ``spread`` is the standard deviation of
+        its logarithm. ``output_most`` is reserved, ``output_share`` of it delivered.
+    :ivar takes_s: duration of a response; ``target_s`` is the limit to its first token.
     """
 
     per_s: float
@@ -34,30 +34,30 @@
     Work(19.0, 1_800, 0.9, 90, 0.25, 0.5, 1.2, 4.0, False),
     Work(12.0, 600, 0.6, 700, 0.4, 4.0, 1.5, 15.0, False),
 )
-"""Long prompts with short answers, middling ones, and chats: rates and sizes as
-listed of a deployment of nine entries."""
+"""Long prompts with short responses, medium ones, and chats, at the listed rates and
+sizes of a deployment of nine entries."""
 
 
 class FaultKind(enum.Enum):
-    """What may happen to entries."""
+    """Faults of entries and of the log."""
 
     POWER = "power"
-    """Instances lose power and start anew."""
+    """Instances lose power and restart."""
     CUT = "cut"
-    """Entries reach neither the log nor each other; callers reach them."""
+    """Entries are partitioned from the log and each other, not from callers."""
     REFUSED = "refused"
-    """The log turns entries away; they reach each other."""
+    """The log refuses entries, which still reach each other."""
     AWAY = "away"
     """The log refuses every call."""
     RESTORED = "restored"
-    """The log is away, and comes back from a copy made ``loses_s`` before."""
+    """The log is unavailable and restored from a backup made ``loses_s`` before."""
 
 
 @attrs.frozen
 class Fault:
-    """One fault: ``share`` of the entries, from ``at_s`` on for ``for_s``.
+    """One fault of a ``share`` of the entries, from ``at_s`` on for ``for_s``.
 
-    :ivar loses_s: how much of its history the log has lost when it comes back.
+    :ivar loses_s: how much of its history the log loses with a restore.
     """
 
     kind: FaultKind
@@ -72,8 +72,8 @@
     Fault(FaultKind.CUT, 24.0, 8.0),
     Fault(FaultKind.POWER, 34.0, 1.4),
 )
-"""The hardest load listed for prepaid totals: two long cuts of all entries, and a
-loss of power of all two seconds after the second."""
+"""The hardest listed faults for prepaid totals: two long partitions of all entries, and
+a power loss of all two seconds after the second."""
 
 
 @attrs.frozen
@@ -81,13 +81,12 @@
     """One run.
 
     :ivar mix: the classes of requests.
-    :ivar total_times: totals against what is asked for in ``lasts_s``.
-    :ivar hot_times: how much more than usual the largest account sends from a
-        third of the run on.
-    :ivar wide: entries with wide links, the first ones, which callers are told of;
-        with 0 all links are alike.
-    :ivar kept: the largest accounts whose callers keep to one entry each: the last
-        entries of the fleet, in turn, whether callers are told of them or not.
+    :ivar total_times: totals as a multiple of the demand during ``lasts_s``.
+    :ivar hot_times: factor on the largest account's requests after a third of the run.
+    :ivar wide: number of entries with wide links, the first ones, which are announced
+        to callers; with 0 all links are equal.
+    :ivar kept: number of the largest accounts whose callers stay with one entry each:
+        the last entries of the fleet, in turn, whether announced or not.
     """
 
     name: str
@@ -106,22 +105,22 @@
 
     @property
     def told(self) -> int:
-        """How many entries callers are told of."""
+        """Number of entries that are announced to callers."""
         return self.wide or self.entries
 
 
 @attrs.define
 class Outcome:
-    """What a run came to.
-
-    :ivar overspent_tokens: beyond the totals, by all accounts; must be 0.
-    :ivar delivered_share: spent of the totals of accounts that were asked for
-        more than they have.
-    :ivar requests: those that were owed, by when they ended; times are since the
-        run began.
-    :ivar writes_s: when appends arrived at the log, since the run began.
-    :ivar owed: requests owed, of which ``in_target`` and ``refused`` ones;
-        ``owed_tokens`` and ``in_target_tokens`` at their most.
+    """The results of a run.
+
+    :ivar overspent_tokens: spent beyond the totals, by all accounts; must be 0.
+    :ivar delivered_share: spent share of the totals of accounts whose demand exceeds
+        them.
+    :ivar requests: the owed requests, in the order of their ends; times are since the
+        start of the run.
+    :ivar writes_s: when appends arrived at the log, since the start of the run.
+    :ivar owed: number of owed requests, among them ``in_target`` and ``refused`` ones;
+        ``owed_tokens`` and ``in_target_tokens`` are their largest possible costs.
     """
 
     overspent_tokens: int = 0
@@ -142,15 +141,15 @@
 
     @property
     def refused_share(self) -> float:
-        """Refused of those owed."""
+        """Refused share of the owed requests."""
         return self.refused / max(1, self.owed)
 
     @property
     def in_target_share(self) -> float:
-        """Answered in time, of those owed."""
+        """Share of the owed requests that met their target."""
         return self.in_target / max(1, self.owed)
 
     @property
     def in_target_tokens_share(self) -> float:
-        """The same by tokens: a request is worth more the larger it is."""
+        """The same share weighted by tokens."""
         return self.in_target_tokens / max(1, self.owed_tokens)
--- a/src/celerytrack/lab/virtual_time.py
+++ b/src/celerytrack/lab/virtual_time.py
@@ -1,8 +1,8 @@
 """An event loop whose time jumps to the next timer, and instances' clocks on it.
 
-Code that waits and reads clocks runs unchanged, and a minute of a fleet takes
-seconds. Each modelled instance has a steady clock and a time of day of its own:
-a loss of power starts the first anew, and either may be off.
+Code that waits and reads clocks runs unchanged, and a fleet's minute takes seconds.
+Each modelled instance has its own monotonic clock and wall clock: a power loss resets
+the former, and either may be wrong.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 _T = TypeVar("_T")
 
 EPOCH_S = 1_700_000_000.0
-"""The time of day at the start of each run, in Unix seconds."""
+"""The wall time at the start of each run, in Unix seconds."""
 
 
 @attrs.frozen
 class Clock:
-    """The clocks of one instance, against modelled time.
+    """The clocks of one instance, relative to virtual time.
 
-    :ivar steady_ahead_s: its steady clock less modelled time.
-    :ivar day_ahead_s: its time of day less the true one.
+    :ivar steady_ahead_s: its monotonic clock minus virtual time.
+    :ivar day_ahead_s: its wall clock minus the true time.
     """
 
     steady_ahead_s: float = 0.0
@@ -38,16 +38,16 @@
 
 
 class StalledError(RuntimeError):
-    """Every task waits for something that no timer will bring."""
+    """Every task waits for an event that no timer will cause."""
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Waits by letting time pass."""
+    """Advances time instead of waiting."""
 
     now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Let ``timeout`` pass; nothing ever comes from outside."""
+        """Advance time by ``timeout``; there are no external events."""
         if timeout is None:
             raise StalledError("no timer is set")
         self.now_s += max(0.0, timeout)
@@ -55,43 +55,43 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop in modelled time, which begins at 0."""
+    """An event loop in virtual time, which begins at 0."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
-        """Modelled seconds since the start."""
+        """Virtual seconds since the start."""
         return self._jumping.now_s
 
 
 def on_instance(clock: Clock, coro: Coroutine[Any, Any, _T]) -> "asyncio.Task[_T]":
-    """Run ``coro`` on an instance: what it and its tasks read are its clocks."""
+    """Run ``coro`` on an instance, with the instance's clocks for it and its tasks."""
     context = contextvars.copy_context()
     context.run(_clock.set, clock)
     return asyncio.get_running_loop().create_task(coro, context=context)
 
 
 @contextlib.contextmanager
-def _clocks_of(loop: VirtualLoop) -> Iterator[None]:
-    steady, day = time.monotonic, time.time
+def _patched_clocks(loop: VirtualLoop) -> Iterator[None]:
+    monotonic, wall = time.monotonic, time.time
     time.monotonic = lambda: loop.time() + _clock.get().steady_ahead_s
     time.time = lambda: EPOCH_S + loop.time() + _clock.get().day_ahead_s
     try:
         yield
     finally:
-        time.monotonic, time.time = steady, day
+        time.monotonic, time.time = monotonic, wall
 
 
 def run_virtual(coro: Coroutine[Any, Any, _T]) -> _T:
-    """Run ``coro`` to its end in modelled time.
+    """Run ``coro`` to its end in virtual time.
 
-    :raises StalledError: if nothing more can happen before that.
+    :raises StalledError: if no timer is left before that.
     """
     loop = VirtualLoop()
     try:
-        with _clocks_of(loop):
+        with _patched_clocks(loop):
             return loop.run_until_complete(coro)
     finally:
         loop.close()
