--- a/src/celerytrack/ledger.py
+++ b/src/celerytrack/ledger.py
@@ -265,7 +265,7 @@
 
     def _bill(self, bill: Bill) -> BillOutcome:
         # A request may be billed by two entries, when its caller retried at
-        # another one after the first entry's response broke off, or appended
+        # another one after the first entry's response was aborted, or appended
         # twice after a lost reply. Only the first bill in the stream charges.
         if bill.request_id in self.billed:
             return BillOutcome.DUPLICATE
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -34,7 +34,7 @@
         self._own = OwnRow(self.rows)
         self._entries = 1.0
         self.row_round_trip_s = 0.0
-        self._leaving = False
+        self._draining = False
         self.restore_hold = RestoreHold(me)
 
     # -- configured totals and folded rows --------------------------------
@@ -275,8 +275,8 @@
         return self._own.is_in_flight
 
     def return_unspent(self) -> None:
-        """Claim no more than is spent or reserved, because this entry is leaving."""
-        self._leaving = True
+        """Claim no more than is spent or reserved, because this entry is draining."""
+        self._draining = True
         for share in self._shares.values():
             share.claim_tokens = share.floor_tokens
             share.wanted_tokens = 0
@@ -310,7 +310,7 @@
             return True
         if self.restore_hold.active:
             # A claim that was not accepted is made again after the hold.
-            retained = 0 if self._leaving else share.accepted_tokens
+            retained = 0 if self._draining else share.accepted_tokens
             share.claim_tokens = max(retained, floor)
             return share.wanted_tokens > 0
         target = self._target(account, now_s)
@@ -321,7 +321,7 @@
         return share.wanted_tokens > 0
 
     def _target(self, account: AccountId, now_s: float) -> ShareTarget:
-        if self._leaving:
+        if self._draining:
             return ShareTarget(0, 0, 0)
         share = self._share(account)
         return share_target(
--- a/src/celerytrack/prepaid/policy.py
+++ b/src/celerytrack/prepaid/policy.py
@@ -50,7 +50,7 @@
 :data:`COVER_S`; transfers bring the parts to the entry that has the request."""
 UNCLAIMED_SHARE = 0.005
 """Share of a total that is never claimed: the token counts of an endpoint and of the
-entry may differ by this much for broken streams."""
+entry may differ by this much for aborted streams."""
 URGENT_RESERVE_SHARE = 0.015
 """Share of a total that is claimed only for the most urgent requests, one at a time, so
 that they are still served after a power loss with few tokens left. Where urgent
--- a/src/celerytrack/restored_registrations.py
+++ b/src/celerytrack/restored_registrations.py
@@ -19,14 +19,14 @@
         self._missing_since_s: dict[EndpointId, float] = {}
 
     def on_log_restored(self, gone: Set[EndpointId]) -> None:
-        """Begin anew: the log was restored from an older backup.
+        """Record which endpoints had left when the log was restored from a backup.
 
         :param gone: the endpoints known to have left.
         """
         self._left = set(gone)
 
     def is_outdated(self, registration: Registration, last: Registration) -> bool:
-        """Whether ``registration`` was already superseded before the restore.
+        """Whether a later record or the endpoint's leaving supersedes ``registration``.
 
         :param last: the last record read of the same endpoint.
         """
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -201,7 +201,7 @@
             _write_as(busy, PEER, 2, float(second))
             reservation = busy.reserve(A, 2_000, second + 0.5)
             if reservation is None:
-                # The keeper writes a row for the missing tokens.
+                # The row task writes a row for the missing tokens.
                 _write_as(busy, PEER, 2, second + 0.51)
                 reservation = busy.reserve(A, 2_000, second + 0.52)
             self.assertIsNotNone(reservation)
@@ -435,7 +435,7 @@
             self.assertAlmostEqual(found_s, expected)
 
     def test_delayed_rows_of_an_outage_do_not_hide_a_clock_set_back(self):
-        """The reason to wait for three rows; no failure was seen. The store is away for
+        """The reason to wait for three rows; no failure was seen. The store is down for
         2 s, and rows made before that land at its return. To an entry that starts then
         with its clock set back by 2 s they look new: a late row makes the reader's
         clock appear ahead by as much as it is behind."""
@@ -475,7 +475,7 @@
 
     def test_rows_delayed_by_a_partition_do_not_hide_a_correct_clock(self):
         """Guards against judging a clock by the newest row of each entry alone. The log
-        is away for 8 s, so that each entry's row is 8 s old when it lands; most entries
+        is down for 8 s, so that each entry's row is 8 s old when it lands; most entries
         write the next one seconds later. Entries with callers write rows meanwhile
         which say that their clock is 8 s ahead. After a power loss, the age of such a
         row is unknown and its whole claim counts as spent: in a fleet of 195 a third of
--- a/tests/test_prepaid_fleet.py
+++ b/tests/test_prepaid_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of real keepers in virtual time: how prepaid totals fare under load."""
+"""Fleets of real row tasks in virtual time: prepaid totals under load and faults."""
 
 import logging
 import unittest
