--- a/bench/prepaid_bench.py
+++ b/bench/prepaid_bench.py
@@ -37,7 +37,7 @@
     Scenario("late appends", late_append_s=0.2, lost_share=0.1),
     Scenario(
         "hot account, then power",
-        hot_times=3.0,
+        hot_factor=3.0,
         faults=(Fault(_POWER, 32.0, 1.4),),
     ),
 )
--- a/bench/restore_bench.py
+++ b/bench/restore_bench.py
@@ -27,7 +27,7 @@
 AT_S, AWAY_S = 10.0, 0.5
 WRITES_PER_S = {9: 600, 76: 1_500, 195: 3_200}
 """Most writes per second that the log takes, by the number of entries."""
-TOLD = {195: 15}
+ANNOUNCED = {195: 15}
 """Number of announced entries, where it is not all of them."""
 COMPARED_S = 16.0
 """Totals are used up about then, and little is owed afterwards."""
@@ -83,7 +83,7 @@
         accounts=3,
         runs_s=20.0,
         lasts_s=10.0,
-        wide=TOLD.get(entries, 0),
+        wide=ANNOUNCED.get(entries, 0),
         faults=faults,
     )
 
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -34,7 +34,7 @@
     async def ask(self, address: str, account: AccountId, tokens: int) -> int:
         """Tokens that the entry at ``address``, which is its number, transferred."""
         other = self._fleet[int(address)]
-        if self._me.apart or other.apart or other.reservations is None:
+        if self._me.partitioned or other.partitioned or other.reservations is None:
             await asyncio.sleep(ASK_TIMEOUT_S)
             return 0
         await asyncio.sleep(PEER_S)
@@ -46,7 +46,7 @@
     ) -> Mapping[AccountId, AccountClaim]:
         """The row of ``me`` as the entry at ``address`` knows it."""
         other = self._fleet[int(address)]
-        if self._me.apart or other.apart or other.keeper is None:
+        if self._me.partitioned or other.partitioned or other.keeper is None:
             await asyncio.sleep(ASK_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
@@ -60,7 +60,7 @@
     :param totals: returns the total of each account.
     :param fleet: all entries, including this one.
     :param link_mbps: capacity of its link; 0 if unknown.
-    :ivar apart: whether it is partitioned from all other entries.
+    :ivar partitioned: whether it is partitioned from all other entries.
     :ivar reservations: serves callers' requests; ``None`` while it does not serve.
     """
 
@@ -73,7 +73,7 @@
         link_mbps: float = 0.0,
     ) -> None:
         self.number = number
-        self.apart = False
+        self.partitioned = False
         self.clock = Clock()
         self.store = ModelStore(log)
         self.reservations: Reservations | None = None
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -75,7 +75,7 @@
         )
         self.entries: list[ModelEntry] = []
         for i in range(scenario.entries):
-            link_mbps = WIDE_MBPS if i < scenario.told else NARROW_MBPS
+            link_mbps = WIDE_MBPS if i < scenario.announced_count else NARROW_MBPS
             entry = ModelEntry(i, self.log, self.totals, self.entries, link_mbps)
             self.entries.append(entry)
         self.outcome = Outcome()
@@ -83,9 +83,9 @@
         self._calls: set[asyncio.Task[None]] = set()
         self._weights = [1 / (i + 1) for i in range(scenario.accounts)]
         self._names = [AccountId(f"a{i}") for i in range(scenario.accounts)]
-        scale = scenario.told / 9
+        scale = scenario.announced_count / 9
         rate = scale * sum(w.per_s * _mean_tokens(w) for w in scenario.mix)
-        asked = rate * scenario.lasts_s * scenario.total_times / sum(self._weights)
+        asked = rate * scenario.lasts_s * scenario.total_factor / sum(self._weights)
         self.accounts = {
             name: _Account(int(weight * asked))
             for name, weight in zip(self._names, self._weights, strict=True)
@@ -100,7 +100,7 @@
         await asyncio.gather(*(self._start(e) for e in self.entries))
         self._began_s = began_s = asyncio.get_running_loop().time()
         tasks = [asyncio.create_task(self._fault(f)) for f in self.scenario.faults]
-        scale = self.scenario.told / 9
+        scale = self.scenario.announced_count / 9
         tasks += [asyncio.create_task(self._send(w, scale)) for w in self.scenario.mix]
         await asyncio.sleep(self.scenario.runs_s)
         for task in tasks:
@@ -137,10 +137,10 @@
             return
         for entry in affected:
             entry.store.cut = True
-            entry.apart = fault.kind is FaultKind.CUT
+            entry.partitioned = fault.kind is FaultKind.CUT
         await asyncio.sleep(fault.for_s)
         for entry in affected:
-            entry.store.cut = entry.apart = False
+            entry.store.cut = entry.partitioned = False
 
     async def _log_fault(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s - fault.loses_s)
@@ -164,7 +164,7 @@
 
     def _choices(self, began_s: float) -> Iterator[AccountId]:
         weights = list(self._weights)
-        hot = [weights[0] * self.scenario.hot_times, *weights[1:]]
+        hot = [weights[0] * self.scenario.hot_factor, *weights[1:]]
         loop = asyncio.get_running_loop()
         while True:
             is_hot = loop.time() - began_s > self.scenario.runs_s / 3
@@ -205,9 +205,9 @@
     def _reached(self, name: AccountId) -> list[ModelEntry]:
         """The entries that an account's callers connect to."""
         rank = self._names.index(name)
-        if rank < self.scenario.kept:
+        if rank < self.scenario.sticky_accounts:
             return [self.entries[-1 - rank]]
-        return self.entries[: self.scenario.told]
+        return self.entries[: self.scenario.announced_count]
 
     def _asked(self, request: _Request) -> bool:
         """Count a request; returns whether it is owed."""
--- a/src/celerytrack/lab/prepaid_scenarios.py
+++ b/src/celerytrack/lab/prepaid_scenarios.py
@@ -81,12 +81,12 @@
     """One run.
 
     :ivar mix: the classes of requests.
-    :ivar total_times: totals as a multiple of the demand during ``lasts_s``.
-    :ivar hot_times: factor on the largest account's requests after a third of the run.
+    :ivar total_factor: totals as a multiple of the demand during ``lasts_s``.
+    :ivar hot_factor: factor on the largest account's requests after a third of the run.
     :ivar wide: number of entries with wide links, the first ones, which are announced
         to callers; with 0 all links are equal.
-    :ivar kept: number of the largest accounts whose callers stay with one entry each:
-        the last entries of the fleet, in turn, whether announced or not.
+    :ivar sticky_accounts: number of the largest accounts whose callers stay with one
+        entry each: the last entries of the fleet, in turn, whether announced or not.
     """
 
     name: str
@@ -94,17 +94,17 @@
     accounts: int = 10
     runs_s: float = 48.0
     lasts_s: float = 34.0
-    total_times: float = 1.3
-    hot_times: float = 1.0
+    total_factor: float = 1.3
+    hot_factor: float = 1.0
     wide: int = 0
-    kept: int = 0
+    sticky_accounts: int = 0
     late_append_s: float = 0.0
     lost_share: float = 0.0
     faults: tuple[Fault, ...] = ()
     mix: tuple[Work, ...] = MIX
 
     @property
-    def told(self) -> int:
+    def announced_count(self) -> int:
         """Number of entries that are announced to callers."""
         return self.wide or self.entries
 
--- a/tests/test_prepaid_fleet.py
+++ b/tests/test_prepaid_fleet.py
@@ -72,7 +72,13 @@
         token came at 391 ms, with 34 ms predicted and a target of 311 ms."""
         mix = tuple(attrs.evolve(work, target_s=0.1) for work in MIX)
         scenario = Scenario(
-            "kept", entries=120, wide=12, kept=2, accounts=2, runs_s=4.0, mix=mix
+            "kept",
+            entries=120,
+            wide=12,
+            sticky_accounts=2,
+            accounts=2,
+            runs_s=4.0,
+            mix=mix,
         )
         outcome = run_virtual(PrepaidFleet(scenario, seed).run())
         self.assertEqual(outcome.overspent_tokens, 0)
@@ -95,7 +101,7 @@
             "after a cut",
             entries=60,
             wide=12,
-            kept=2,
+            sticky_accounts=2,
             accounts=2,
             runs_s=26.0,
             lasts_s=14.0,
@@ -122,7 +128,7 @@
             accounts=2,
             runs_s=20.0,
             lasts_s=16.0,
-            total_times=1.0,
+            total_factor=1.0,
             mix=mix,
         )
         outcome = run_virtual(PrepaidFleet(scenario, SEED).run())
