--- a/src/celerytrack/entry/service_calls.py
+++ b/src/celerytrack/entry/service_calls.py
@@ -1,4 +1,4 @@
-"""``POST /v1/services/{class}``: a plain-service call, JSON in and out."""
+"""``POST /v1/services/{class}``: a call to a plain service, JSON in and out."""
 
 import asyncio
 import logging
@@ -8,19 +8,19 @@
 from aiohttp import web
 from returns.result import Failure, Result, Success
 
-from celerytrack.entry.admission import Admitted, handle, place, reserve
+from celerytrack.entry.admission import AdmittedRequest, choose_replica, handle, reserve
 from celerytrack.entry.answers import StoredAnswer
 from celerytrack.entry.charging import charge
 from celerytrack.entry.claims import Claim, ClaimState
 from celerytrack.entry.refusals import RefusedError
 from celerytrack.entry.state import EntryState
 from celerytrack.entry.upstream import (
-    CONNECTION_FAILED,
-    NEVER_CONNECTED,
+    CONNECT_ERRORS,
+    CONNECTION_ERRORS,
     bad_status,
-    failed,
+    replica_failed,
+    replica_unreachable,
     try_replicas,
-    unreachable,
 )
 from celerytrack.events import Event, log_event
 from celerytrack.replica_load import Ask, Attempt
@@ -31,13 +31,12 @@
 
 
 async def service_call(state: EntryState, request: web.Request) -> web.StreamResponse:
-    """Handle one call."""
     started_s = time.monotonic()
 
     async def replay(stored: StoredAnswer) -> web.StreamResponse:
         return web.json_response(stored.body, headers={"X-Replayed": "1"})
 
-    async def serve(admitted: Admitted) -> web.StreamResponse:
+    async def serve(admitted: AdmittedRequest) -> web.StreamResponse:
         answer = await _serve(state, admitted)
         name, rid = admitted.work.name, admitted.request_id
         state.metrics.ttft.labels(name).observe(time.monotonic() - started_s)
@@ -50,36 +49,36 @@
     return await handle(state, request, BackendKind.SERVICE, replay, serve)
 
 
-async def _serve(state: EntryState, admitted: Admitted) -> Any:
+async def _serve(state: EntryState, admitted: AdmittedRequest) -> Any:
     if not admitted.work.idempotent:
-        # A call known to have been started must not be refused
-        # "did not run" below, for want of budget or of a replica.
-        known = state.claims.known_claim(admitted.cache_key)
+        # A call that is known to have started must not be refused with
+        # did_not_run below, for lack of budget or of a replica.
+        known = state.claims.find_claim(admitted.cache_key)
         if known is not None:
-            return _answer_of(known)
+            return _stored_answer(known)
     cost = admitted.work.service_cost_tokens
     reservation = await reserve(state, admitted, cost)
     ask = Ask(admitted.work.model, admitted.work.priority)
     claim = Claim(ClaimState.OWNED)
     try:
-        # A replica with room is looked for before the intent is recorded,
-        # so that a call refused for capacity stays free to be tried again.
-        place(state, admitted.work, ask, frozenset())
+        # Check that some replica has room before the intent is recorded, so that a
+        # call refused for lack of capacity can still be retried.
+        choose_replica(state, admitted.work, ask, frozenset())
         if not admitted.work.idempotent:
             claim = await _claim(state, admitted)
         if claim.state is ClaimState.FINISHED:
-            state.keeper.book.release(reservation)
-            return _answer_of(claim)
+            state.grant_manager.escrow.release(reservation)
+            return _stored_answer(claim)
         answer = await _send(state, admitted, ask)
     except RefusedError as exc:
-        state.keeper.book.release(reservation)
+        state.grant_manager.escrow.release(reservation)
         if claim.claim_id and exc.refusal.verdict is Verdict.DID_NOT_RUN:
-            # Never sent, so the key is freed: left claimed, every retry
-            # elsewhere would be refused "may have run" for ever.
+            # The call was never sent, so free its key. If the claim remained, every
+            # retry at another entry would be refused with may_have_run forever.
             state.claims.abandon(admitted.cache_key, claim.claim_id)
         raise
     except asyncio.CancelledError:
-        state.keeper.book.release(reservation)
+        state.grant_manager.escrow.release(reservation)
         raise
     if claim.claim_id:
         state.claims.finish(admitted.cache_key, claim.claim_id, answer)
@@ -87,7 +86,7 @@
     return answer
 
 
-async def _send(state: EntryState, admitted: Admitted, ask: Ask) -> Any:
+async def _send(state: EntryState, admitted: AdmittedRequest, ask: Ask) -> Any:
     sent = await try_replicas(
         state,
         admitted,
@@ -100,29 +99,29 @@
     return sent.unwrap()
 
 
-async def _claim(state: EntryState, admitted: Admitted) -> Claim:
+async def _claim(state: EntryState, admitted: AdmittedRequest) -> Claim:
     """Claim a non-idempotent call for this attempt.
 
     :returns: an owned claim, or a finished one with its answer.
-    :raises RefusedError: if another attempt owns the call (it may have
-        run), or the intent could not be recorded (nothing was sent).
+    :raises RefusedError: ``may_have_run`` if another attempt owns the call,
+        ``did_not_run`` if the intent could not be recorded.
     """
     claim = await state.claims.claim(admitted.cache_key)
     match claim.state:
         case ClaimState.OWNED:
             log_event(_log, Event.INTENT_RECORDED, request_id=admitted.request_id)
         case ClaimState.STARTED:
-            _answer_of(claim)
+            _stored_answer(claim)
         case ClaimState.UNREACHABLE:
             detail = "the intent could not be recorded"
             raise RefusedError(did_not_run(Reason.LEDGER_UNREACHABLE, 2.0, detail))
     return claim
 
 
-def _answer_of(claim: Claim) -> Any:
-    """The answer of a call that another attempt owns.
+def _stored_answer(claim: Claim) -> Any:
+    """The stored answer of a call that another attempt owns.
 
-    :raises RefusedError: ``may_have_run`` if it has none yet.
+    :raises RefusedError: ``may_have_run`` if no answer is stored yet.
     """
     if claim.state is ClaimState.FINISHED:
         return claim.answer
@@ -131,7 +130,7 @@
 
 
 async def _attempt(
-    state: EntryState, sent: Attempt, admitted: Admitted
+    state: EntryState, sent: Attempt, admitted: AdmittedRequest
 ) -> Result[Any, Refusal]:
     address = state.view.addresses[sent.replica.replica_id]
     url = f"http://{address}/call/{admitted.work.name}"
@@ -141,7 +140,7 @@
             if r.status != 200:
                 return Failure(bad_status(r.status))
             return Success(await r.json())
-    except NEVER_CONNECTED:
-        return Failure(unreachable())
-    except (*CONNECTION_FAILED, ValueError):
-        return Failure(failed())
+    except CONNECT_ERRORS:
+        return Failure(replica_unreachable())
+    except (*CONNECTION_ERRORS, ValueError):
+        return Failure(replica_failed())
--- /dev/null
+++ b/src/celerytrack/gateway/crash_detector.py
@@ -0,0 +1,81 @@
+"""Detection of endpoints that crashed while they ran requests.
+
+An interrupted request alone is weak evidence: the connection may have been reset, the
+link may have failed, or the process may have crashed. The address of a crashed process
+refuses connections.
+"""
+
+import asyncio
+from collections.abc import Callable
+
+import attrs
+
+from celerytrack.endpoint import Endpoint
+from celerytrack.fingerprint import Fingerprint
+from celerytrack.ids import EndpointId
+from celerytrack.process_end import has_ended
+
+RESTART_REPORT_S = 3.0
+"""Time in which a process that restarts at once under the same id registers again."""
+
+
+@attrs.frozen
+class CrashedEndpoint:
+    """An endpoint that crashed while it ran requests.
+
+    :ivar interrupted: the requests of this entry that were interrupted.
+    """
+
+    endpoint: Endpoint
+    interrupted: frozenset[Fingerprint]
+
+
+class CrashDetector:
+    """Checks whether endpoints crashed after requests to them were interrupted.
+
+    :param is_superseded: whether a later incarnation has registered under an endpoint's
+        id.
+    :param on_crash: called with each endpoint that crashed.
+    """
+
+    def __init__(
+        self,
+        is_superseded: Callable[[Endpoint], bool],
+        on_crash: Callable[[CrashedEndpoint], None],
+    ) -> None:
+        self._is_superseded = is_superseded
+        self._on_crash = on_crash
+        self._interrupted: dict[EndpointId, set[Fingerprint]] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def report_interrupted(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
+        """Check ``endpoint`` for a crash after a request to it was interrupted.
+
+        A draining endpoint is not checked: it exits on its own, whatever it runs.
+        """
+        if endpoint.registration.draining or endpoint.deregistered_at_s is not None:
+            return
+        interrupted = self._interrupted.get(endpoint.endpoint_id)
+        if interrupted is not None:
+            interrupted.add(fingerprint)
+            return
+        self._interrupted[endpoint.endpoint_id] = {fingerprint}
+        task = asyncio.get_running_loop().create_task(self._check_for_crash(endpoint))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def close(self) -> None:
+        """Cancel the checks in progress."""
+        for task in self._tasks:
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+
+    async def _check_for_crash(self, endpoint: Endpoint) -> None:
+        try:
+            crashed = await has_ended(endpoint.registration.address)
+        finally:
+            interrupted = frozenset(self._interrupted.pop(endpoint.endpoint_id))
+        if not crashed and not self._is_superseded(endpoint):
+            await asyncio.sleep(RESTART_REPORT_S)
+        if crashed or self._is_superseded(endpoint):
+            self._on_crash(CrashedEndpoint(endpoint, interrupted))
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -1,4 +1,4 @@
-"""The way of one request: admit, reserve, choose, send, settle."""
+"""Handles one request: admit, reserve, choose an endpoint, send, settle."""
 
 import asyncio
 import logging
@@ -9,54 +9,60 @@
 
 from celerytrack.endpoint import Choice
 from celerytrack.events import Event, log_event
-from celerytrack.gateway.admission import SHORTLY_S, SOON_S, admit, reserve, settle
+from celerytrack.gateway.admission import (
+    NO_ENDPOINT_RETRY_AFTER_S,
+    RETRY_ELSEWHERE_AFTER_S,
+    admit,
+    reserve,
+    settle,
+)
 from celerytrack.gateway.attempts import (
     AttemptResult,
-    CallerGoneError,
+    CallerDisconnectedError,
     attempt,
-    finish,
+    finish_stream,
 )
 from celerytrack.gateway.exchange import (
     AttemptFailure,
+    BufferedAnswer,
     Exchange,
-    PlainAnswer,
 )
 from celerytrack.gateway.outcomes import (
-    answered,
-    attempt_failed,
-    count,
-    cut,
-    plain,
+    abort_stream,
+    count_outcome,
+    log_admitted_while_draining,
+    make_response,
+    record_answer,
+    record_attempt_failure,
     refuse,
-    taken_leaving,
+)
+from celerytrack.gateway.quarantine import (
+    begin_probe,
+    cancel_probe,
+    cancel_probe_later,
+    choose_endpoint,
+    quarantine_failure,
+    quarantine_refusal,
+    record_success,
+    suspect_state_of,
 )
 from celerytrack.gateway.refusals import RefusedError
 from celerytrack.gateway.state import Gateway
-from celerytrack.gateway.suspect_gate import (
-    choose,
-    claim,
-    ended_well,
-    held_back,
-    not_sent,
-    release,
-    release_when_known,
-    standing_of,
-)
 from celerytrack.loop_time import loop_time
 from celerytrack.planned_stop import Lasting, PlannedStop
 from celerytrack.prepaid import Reservation
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
 
 _log = logging.getLogger(__name__)
 
-MOST_UNSENT = 3
-"""Endpoints that may fail to take the connection before a request is given up:
-more than a third of a service going dark at once is not what this helps with."""
+MAX_CONNECT_FAILURES = 3
+"""Endpoints that may be unreachable before a request is given up. It does not cover
+the simultaneous failure of more than a third of a service."""
 
 
 async def handle(gateway: Gateway, request: web.BaseRequest) -> web.StreamResponse:
-    """Answer one request of a caller."""
+    """Answer one request."""
     started_s = time.monotonic()
     gateway.in_flight += 1
     gateway.telemetry.in_flight.set(gateway.in_flight)
@@ -76,169 +82,173 @@
         return refuse(gateway, request, None, exc.refusal)
     gateway.exchanges.add(exchange)
     try:
-        _hold_back(gateway, exchange, time.monotonic())
+        _check_quarantine(gateway, exchange, time.monotonic())
         if gateway.stop is not None:
-            _take_leaving(gateway, exchange, gateway.stop, time.monotonic())
+            _admit_while_draining(gateway, exchange, gateway.stop, time.monotonic())
         return await _serve(gateway, exchange)
     except RefusedError as exc:
         return refuse(gateway, request, exchange, exc.refusal)
-    except (CallerGoneError, asyncio.CancelledError):
-        count(gateway, exchange, "caller_left")
+    except (CallerDisconnectedError, asyncio.CancelledError):
+        count_outcome(gateway, exchange, "caller_left")
         log_event(
             _log,
             Event.CALLER_LEFT,
             request_id=exchange.facts.request_id,
-            events=exchange.events.events,
+            events=exchange.events.event_count,
         )
         raise asyncio.CancelledError from None
     finally:
         gateway.exchanges.discard(exchange)
 
 
-def _hold_back(gateway: Gateway, exchange: Exchange, now_s: float) -> None:
-    """Refuse at once what no endpoint gets.
+def _check_quarantine(gateway: Gateway, exchange: Exchange, now_s: float) -> None:
+    """Refuse a quarantined request before anything is reserved.
 
-    :raises RefusedError: if endpoints ended under the request time and again.
+    :raises RefusedError: if endpoints crashed repeatedly while running the request.
     """
-    if standing_of(gateway, exchange, now_s) is Standing.SHUT_OUT:
-        raise RefusedError(held_back(gateway, exchange, now_s))
+    if suspect_state_of(gateway, exchange, now_s) is SuspectState.QUARANTINED:
+        raise RefusedError(quarantine_refusal(gateway, exchange, now_s))
 
 
-def _take_leaving(
+def _admit_while_draining(
     gateway: Gateway, exchange: Exchange, stop: PlannedStop, now_s: float
 ) -> None:
-    """Take a request during a planned stop.
+    """Admit a request during a planned stop.
 
-    :raises RefusedError: if it may not end before the process does.
+    :raises RefusedError: if the request might still run when the process exits.
     """
     lasting = Lasting(
-        most_s=exchange.ends_s - now_s,
+        most_s=exchange.deadline_at_s - now_s,
         likely_s=gateway.durations.likely_s(exchange.route.name),
         stream=exchange.route.stream,
     )
     if gateway.closing or not stop.takes(lasting, now_s):
         detail = f"this entry stops; {lasting}"
         raise RefusedError(did_not_run(Reason.DRAINING, 0.0, detail))
-    exchange.end_by(stop.answers_end_s)
-    taken_leaving(gateway, exchange, stop, now_s)
+    exchange.shorten_deadline(stop.answers_end_s)
+    log_admitted_while_draining(gateway, exchange, stop, now_s)
 
 
 async def _serve(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
-    held: Reservation | None = None
+    reservation: Reservation | None = None
     try:
-        async with asyncio.timeout_at(loop_time(exchange.ends_s)) as scope:
-            exchange.scope = scope
-            held = await reserve(gateway, exchange)
-            exchange.covered_s = time.monotonic()
-            return await _attempts(gateway, exchange)
+        async with asyncio.timeout_at(loop_time(exchange.deadline_at_s)) as timeout:
+            exchange.timeout = timeout
+            reservation = await reserve(gateway, exchange)
+            exchange.reserved_at_s = time.monotonic()
+            return await _run_attempts(gateway, exchange)
     except TimeoutError:
         if exchange.response is not None:
-            return cut(gateway, exchange, "the time is up")
-        raise RefusedError(_timed_out(exchange)) from None
+            return abort_stream(gateway, exchange, "the time is up")
+        raise RefusedError(_timeout_refusal(exchange)) from None
     finally:
-        exchange.scope = None
-        settle(gateway, exchange, held)
+        exchange.timeout = None
+        settle(gateway, exchange, reservation)
 
 
-def _timed_out(exchange: Exchange) -> Refusal:
+def _timeout_refusal(exchange: Exchange) -> Refusal:
     if exchange.may_have_run:
         return may_have_run(Reason.DEADLINE, None, "no answer in time")
-    return did_not_run(Reason.QUEUE_TIMEOUT, SOON_S, "not sent in time")
+    return did_not_run(
+        Reason.QUEUE_TIMEOUT, RETRY_ELSEWHERE_AFTER_S, "not sent in time"
+    )
 
 
-async def _attempts(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
+async def _run_attempts(gateway: Gateway, exchange: Exchange) -> web.StreamResponse:
     now_s = time.monotonic()
-    if exchange.ends_s <= now_s:
-        # A timeout in the past ends nothing before the first wait, behind the sending.
+    if exchange.deadline_at_s <= now_s:
+        # An expired asyncio timeout takes effect at the next suspension only, which
+        # comes after the request was sent.
         raise TimeoutError
     budget = gateway.retry_budget(exchange.service, now_s)
     budget.request()
     while True:
-        result = await _one_attempt(gateway, exchange)
+        result = await _make_attempt(gateway, exchange)
         match result:
             case Success(None):
                 assert exchange.response is not None
-                await finish(exchange)
-                answered(gateway, exchange, exchange.response.status)
+                await finish_stream(exchange)
+                record_answer(gateway, exchange, exchange.response.status)
                 return exchange.response
-            case Success(PlainAnswer() as answer):
-                again = answer.status >= 500 and exchange.route.may_repeat
-                if not (again and _may_go_on(exchange) and budget.take()):
-                    answered(gateway, exchange, answer.status)
-                    return plain(gateway, answer)
+            case Success(BufferedAnswer() as answer):
+                retry = answer.status >= 500 and exchange.route.is_retry_safe
+                if not (retry and _within_limits(exchange) and budget.take()):
+                    record_answer(gateway, exchange, answer.status)
+                    return make_response(gateway, answer)
             case Failure(failure):
-                again = _repeatable(exchange, failure) and _may_go_on(exchange)
-                # What was never sent adds no load, so it costs no retry.
-                if not (again and (not failure.sent or budget.take())):
+                retry = _is_retryable(exchange, failure) and _within_limits(exchange)
+                # A request that was never sent added no load, so the next attempt
+                # takes nothing from the retry budget.
+                if not (retry and (not failure.sent or budget.take())):
                     return _give_up(gateway, exchange, failure)
 
 
-def _repeatable(exchange: Exchange, failure: AttemptFailure) -> bool:
+def _is_retryable(exchange: Exchange, failure: AttemptFailure) -> bool:
     if failure.reason in (Reason.NO_ENDPOINT, Reason.QUARANTINED):
-        # Nothing changes by asking again at once: the loop would hold the
-        # processor until the deadline, and every other request with it.
+        # An immediate retry gives the same result. The loop would occupy the event
+        # loop until the deadline and block every other request.
         return False
     if failure.verdict is Verdict.DID_NOT_RUN and not exchange.may_have_run:
         return True
     if exchange.response is not None:
         return exchange.route.resumable
-    return exchange.route.may_repeat
+    return exchange.route.is_retry_safe
 
 
-def _may_go_on(exchange: Exchange) -> bool:
-    left_s = exchange.ends_s - time.monotonic()
-    sends = len(exchange.tried) - exchange.unsent
+def _within_limits(exchange: Exchange) -> bool:
+    left_s = exchange.deadline_at_s - time.monotonic()
+    sends = len(exchange.tried) - exchange.unreached
     return (
         sends < exchange.route.max_attempts
-        and exchange.unsent < MOST_UNSENT
-        and left_s > SOON_S
+        and exchange.unreached < MAX_CONNECT_FAILURES
+        and left_s > RETRY_ELSEWHERE_AFTER_S
     )
 
 
-async def _one_attempt(gateway: Gateway, exchange: Exchange) -> AttemptResult:
+async def _make_attempt(gateway: Gateway, exchange: Exchange) -> AttemptResult:
     now_s = time.monotonic()
-    if gateway.endpoints_late(now_s):
-        return Failure(_not_placed("what is known of endpoints is too old"))
-    standing = standing_of(gateway, exchange, now_s)
-    if standing is Standing.SHUT_OUT:
-        return Failure(not_sent(gateway, exchange, now_s))
-    chosen = choose(gateway, exchange, standing, now_s)
+    if gateway.is_endpoint_view_stale(now_s):
+        return Failure(_no_endpoint("what is known of endpoints is too old"))
+    standing = suspect_state_of(gateway, exchange, now_s)
+    if standing is SuspectState.QUARANTINED:
+        return Failure(quarantine_failure(gateway, exchange, now_s))
+    chosen = choose_endpoint(gateway, exchange, standing, now_s)
     if chosen is None:
-        return Failure(_not_placed("none has room"))
-    if standing is Standing.CLEAR:
+        return Failure(_no_endpoint("none has room"))
+    if standing is SuspectState.CLEAR:
         return await _send(gateway, exchange, chosen)
-    if standing is Standing.WATCHED:
+    if standing is SuspectState.WATCHED:
         return await _send_suspect(gateway, exchange, chosen)
-    return await _try_alone(gateway, exchange, chosen)
+    return await _send_probe(gateway, exchange, chosen)
 
 
-async def _try_alone(
+async def _send_probe(
     gateway: Gateway, exchange: Exchange, chosen: Choice
 ) -> AttemptResult:
-    if not await claim(gateway, exchange, chosen.endpoint):
-        return Failure(not_sent(gateway, exchange, time.monotonic()))
-    free = release
+    if not await begin_probe(gateway, exchange, chosen.endpoint):
+        return Failure(quarantine_failure(gateway, exchange, time.monotonic()))
+    finish_probe = cancel_probe
     try:
-        if not gateway.endpoints.takes_work(chosen.endpoint):
-            return Failure(_not_placed("the endpoint left as it was claimed"))
+        if not gateway.endpoints.is_available(chosen.endpoint):
+            return Failure(_no_endpoint("the endpoint left as it was claimed"))
         result = await _send_suspect(gateway, exchange, chosen)
         match result:
-            case Failure(failure) if failure.broke:
-                free = release_when_known
+            case Failure(failure) if failure.was_interrupted:
+                finish_probe = cancel_probe_later
         return result
     finally:
-        free(gateway, exchange)
+        finish_probe(gateway, exchange)
 
 
 async def _send_suspect(
     gateway: Gateway, exchange: Exchange, chosen: Choice
 ) -> AttemptResult:
     endpoint_id = chosen.endpoint.endpoint_id
-    gateway.suspects_at[endpoint_id] += 1
+    gateway.suspects_in_flight[endpoint_id] += 1
     try:
         return await _send(gateway, exchange, chosen)
     finally:
-        gateway.suspects_at[endpoint_id] -= 1
+        gateway.suspects_in_flight[endpoint_id] -= 1
 
 
 async def _send(gateway: Gateway, exchange: Exchange, chosen: Choice) -> AttemptResult:
@@ -249,36 +259,38 @@
     exchange.tried.append(endpoint.endpoint_id)
     exchange.may_have_run = True
     exchange.choice = chosen
-    sent = book.send(chosen, exchange.need, now_s)
-    gateway.tell_prompt(endpoint.endpoint_id, chosen.work_s)
+    sent = book.record_dispatch(chosen, exchange.need, now_s)
+    gateway.announce_prompt(endpoint.endpoint_id, chosen.work_s)
     try:
         result = await attempt(gateway, exchange, endpoint, sent)
     finally:
-        sent.end(time.monotonic(), not exchange.facts.parts)
+        sent.finish(time.monotonic(), not exchange.facts.parts)
     match result:
         case Success(answer):
             if answer is not None and answer.status >= 500:
-                book.failed(endpoint, False, time.monotonic())
+                book.record_failure(endpoint, False, time.monotonic())
             else:
-                book.succeeded(endpoint)
-                ended_well(gateway, exchange)
+                book.record_success(endpoint)
+                record_success(gateway, exchange)
         case Failure(failure):
-            exchange.unsent += failure.gone or not failure.sent
-            attempt_failed(gateway, exchange, endpoint.endpoint_id, failure)
-            book.failed(endpoint, failure.hard, time.monotonic())
-            if failure.broke:
-                gateway.ended_endpoints.broke(endpoint, exchange.fingerprint)
-            if failure.gone:
-                # While registrations cannot be read, the next request would be sent
-                # there too, and refused if its route allows one attempt.
-                book.disowned(endpoint.endpoint_id, time.monotonic())
+            exchange.unreached += failure.address_reused or not failure.sent
+            record_attempt_failure(gateway, exchange, endpoint.endpoint_id, failure)
+            book.record_failure(endpoint, failure.hard, time.monotonic())
+            if failure.was_interrupted:
+                gateway.ended_endpoints.report_interrupted(
+                    endpoint, exchange.fingerprint
+                )
+            if failure.address_reused:
+                # While registrations cannot be read, the next request would also be
+                # sent there, and be refused if its route allows one attempt only.
+                book.deregister_now(endpoint.endpoint_id, time.monotonic())
             if failure.verdict is Verdict.DID_NOT_RUN:
                 exchange.may_have_run = ran_before
     return result
 
 
-def _not_placed(detail: str) -> AttemptFailure:
-    """There is no endpoint that the request may be sent to."""
+def _no_endpoint(detail: str) -> AttemptFailure:
+    """Return the failure of a request that may be sent to no endpoint."""
     return AttemptFailure(
         Reason.NO_ENDPOINT, Verdict.DID_NOT_RUN, False, detail, sent=False
     )
@@ -288,13 +300,17 @@
     gateway: Gateway, exchange: Exchange, failure: AttemptFailure
 ) -> web.StreamResponse:
     if exchange.response is not None:
-        return cut(gateway, exchange, failure.detail)
+        return abort_stream(gateway, exchange, failure.detail)
     if exchange.may_have_run:
         raise RefusedError(may_have_run(failure.reason, None, failure.detail))
     if failure.reason is Reason.QUARANTINED:
-        raise RefusedError(held_back(gateway, exchange, time.monotonic()))
-    after_s = SHORTLY_S if failure.reason is Reason.NO_ENDPOINT else SOON_S
+        raise RefusedError(quarantine_refusal(gateway, exchange, time.monotonic()))
+    retry_after_s = (
+        NO_ENDPOINT_RETRY_AFTER_S
+        if failure.reason is Reason.NO_ENDPOINT
+        else RETRY_ELSEWHERE_AFTER_S
+    )
     reason = failure.reason
     if reason is Reason.UPSTREAM_FAILED:
         reason = Reason.NO_ENDPOINT
-    raise RefusedError(did_not_run(reason, after_s, failure.detail))
+    raise RefusedError(did_not_run(reason, retry_after_s, failure.detail))
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -1,10 +1,10 @@
-"""What the entry does with news of the configuration and the endpoints."""
+"""Applies changes of the configuration and of the endpoints' registrations."""
 
 import logging
 import time
 
 from celerytrack.endpoint import Registration
-from celerytrack.endpoints import Registered
+from celerytrack.endpoints import RegistrationChange
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.state import Gateway
 from celerytrack.gateway.tail import KeyedTail
@@ -18,15 +18,15 @@
 
 
 def make_config_tail(gateway: Gateway) -> KeyedTail:
-    """Follows the operators' configuration."""
+    """A tail that applies the operators' configuration."""
 
     def apply(record: KeyedRecord) -> None:
         if record.key == CONFIG_KEY and record.value is not None:
-            _take_config(gateway, record.value)
+            _apply_config(gateway, record.value)
 
     def caught_up(at_s: float) -> None:
-        # The copy may lack what was confirmed: until it is written again, what the
-        # configuration here does not have may exist.
+        # A restored log may lack versions that were confirmed. Until they are written
+        # again, a route or key missing from the configuration here may exist.
         if gateway.eras.is_rewritten_by(at_s):
             gateway.config_known_at_s = at_s
 
@@ -34,25 +34,25 @@
         gateway.store,
         CONFIG_TOPIC,
         apply,
-        caught_up=caught_up,
+        on_caught_up=caught_up,
         eras=gateway.eras,
         only_key=CONFIG_KEY,
     )
 
 
-def _take_config(gateway: Gateway, raw: bytes) -> None:
+def _apply_config(gateway: Gateway, raw: bytes) -> None:
     try:
         table = decode_config(raw)
     except ConfigError as exc:
         log_event(_log, Event.CONFIG_REJECTED, logging.ERROR, detail=str(exc))
         return
-    known = gateway.table
+    known = gateway.routing_table
     if known is not None and table.version <= known.version:
-        # A read that lags behind must not bring an older version back.
+        # A read that lags behind must not reinstate an older version.
         log_event(_log, Event.CONFIG_IGNORED_STALE, version=table.version)
         return
-    gateway.table = table
-    gateway.keeper.book.set_totals(
+    gateway.routing_table = table
+    gateway.share_sync.budgets.set_totals(
         {
             a.account_id: a.prepaid_tokens
             for a in table.accounts
@@ -65,11 +65,11 @@
     )
 
 
-def _log_registered(registration: Registration, took: Registered) -> None:
+def _log_registration(registration: Registration, result: RegistrationChange) -> None:
     event = Event.ENDPOINT_REGISTERED
-    if took is Registered.STALE:
+    if result is RegistrationChange.STALE:
         event = Event.ENDPOINT_STALE
-    elif took is Registered.STARTED_AGAIN:
+    elif result is RegistrationChange.RESTARTED:
         event = Event.ENDPOINT_STARTED_AGAIN
     elif registration.draining:
         event = Event.ENDPOINT_DRAINING
@@ -83,16 +83,16 @@
 
 
 def make_endpoint_tail(gateway: Gateway) -> KeyedTail:
-    """Follows the endpoints' registrations."""
+    """A tail that applies the endpoints' registrations."""
 
     def drop(endpoint_id: EndpointId) -> None:
-        gateway.endpoints.dropped(endpoint_id, time.monotonic())
+        gateway.endpoints.mark_deregistered(endpoint_id, time.monotonic())
         log_event(_log, Event.ENDPOINT_GONE, endpoint=endpoint_id)
 
     def apply(record: KeyedRecord) -> None:
         now_s = time.monotonic()
-        for endpoint in gateway.endpoints.forget_gone(now_s):
-            gateway.connections.lose(endpoint.endpoint_id)
+        for endpoint in gateway.endpoints.evict_deregistered(now_s):
+            gateway.connections.drop(endpoint.endpoint_id)
             log_event(_log, Event.ENDPOINT_GONE, endpoint=endpoint.endpoint_id)
         endpoint_id = EndpointId(record.key)
         if record.value is None:
@@ -101,22 +101,22 @@
         try:
             registration = decode_registration(record.key, record.value)
         except RegistrationError as exc:
-            # Whoever wrote it, it says nothing that work could be sent by; what
-            # the id said before is no longer so.
+            # Whoever wrote the record, it does not allow requests to be sent, and
+            # the previous registration is no longer valid.
             log_event(_log, Event.REGISTRATION_REJECTED, logging.ERROR, detail=str(exc))
-            gateway.endpoints.disowned(endpoint_id, now_s)
+            gateway.endpoints.deregister_now(endpoint_id, now_s)
             return
-        took = gateway.endpoints.register(registration, now_s)
-        if took is Registered.STARTED_AGAIN:
-            gateway.connections.lose(endpoint_id)
-        if took is not Registered.SAME:
-            _log_registered(registration, took)
+        result = gateway.endpoints.register(registration, now_s)
+        if result is RegistrationChange.RESTARTED:
+            gateway.connections.drop(endpoint_id)
+        if result is not RegistrationChange.SAME:
+            _log_registration(registration, result)
 
     def reload(keys: set[str]) -> None:
         gateway.endpoints_known = True
         now_s = time.monotonic()
         rewritten = gateway.eras.is_rewritten_by(now_s)
-        for endpoint_id in gateway.endpoints.ids():
+        for endpoint_id in gateway.endpoints.registered_ids():
             if endpoint_id in keys:
                 continue
             if rewritten:
@@ -128,7 +128,7 @@
         for endpoint_id in gateway.endpoints.restores.pop_expired(time.monotonic()):
             drop(endpoint_id)
         gateway.endpoints_known_at_s = at_s
-        gateway.endpoints_took_s = time.monotonic() - at_s
+        gateway.endpoints_read_time_s = time.monotonic() - at_s
 
     def contact(reachable: bool) -> None:
         gateway.endpoints_reachable = reachable
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -6,10 +6,10 @@
 from typing import Any, TypeVar
 
 from celerytrack.eras import EraTracker
-from celerytrack.gateway.gifts import ASK_TIMEOUT_S
 from celerytrack.gateway.hedged_store import HedgedStore
+from celerytrack.gateway.peer_requests import PEER_REQUEST_TIMEOUT_S
 from celerytrack.gateway.reservations import Reservations
-from celerytrack.gateway.share_keeper import ShareKeeper
+from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.lab.model_log import ModelLog, ModelStore
 from celerytrack.lab.virtual_time import Clock, on_instance
@@ -31,26 +31,28 @@
         self._me = me
         self._fleet = fleet
 
-    async def ask(self, address: str, account: AccountId, tokens: int) -> int:
+    async def request_transfer(
+        self, address: str, account: AccountId, tokens: int
+    ) -> int:
         """Tokens that the entry at ``address``, which is its number, transferred."""
         other = self._fleet[int(address)]
         if self._me.partitioned or other.partitioned or other.reservations is None:
-            await asyncio.sleep(ASK_TIMEOUT_S)
+            await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return 0
         await asyncio.sleep(PEER_S)
-        giving = on_instance(other.clock, other.reservations.give(account, tokens))
+        giving = on_instance(other.clock, other.reservations.transfer(account, tokens))
         return await giving
 
-    async def ask_row(
+    async def fetch_row(
         self, address: str, me: EntryId
     ) -> Mapping[AccountId, AccountClaim]:
         """The row of ``me`` as the entry at ``address`` knows it."""
         other = self._fleet[int(address)]
         if self._me.partitioned or other.partitioned or other.keeper is None:
-            await asyncio.sleep(ASK_TIMEOUT_S)
+            await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
-        return other.keeper.book.restore_hold.known_row(me)
+        return other.keeper.budgets.restore_hold.known_row(me)
 
 
 class ModelEntry:
@@ -77,7 +79,7 @@
         self.clock = Clock()
         self.store = ModelStore(log)
         self.reservations: Reservations | None = None
-        self.keeper: ShareKeeper | None = None
+        self.keeper: ShareSync | None = None
         self._totals = totals
         self._fleet = fleet
         self._link_mbps = link_mbps
@@ -87,7 +89,7 @@
         """Start a new process and wait until it serves."""
         loop = asyncio.get_running_loop()
         self.store.eras = eras = EraTracker()
-        keeper = ShareKeeper(
+        keeper = ShareSync(
             HedgedStore(self.store),
             EntryId(f"e{self.number}"),
             str(self.number),
@@ -100,7 +102,7 @@
         )
         self.keeper = keeper
         await asyncio.sleep(START_S)
-        keeper.book.set_totals(self._totals())
+        keeper.budgets.set_totals(self._totals())
         self.keep(keeper.run())
         while not keeper.started:
             await asyncio.sleep(0.01)
--- a/src/celerytrack/row_age.py
+++ b/src/celerytrack/row_age.py
@@ -6,7 +6,7 @@
 
 import statistics
 
-from celerytrack.members import FEWEST_WITNESSES, Member
+from celerytrack.members import MIN_CLOCK_PEERS, Member
 from celerytrack.row_rate import MIN_HEARTBEAT_INTERVAL_S
 
 CLOCK_SLACK_S = 0.2
@@ -59,7 +59,7 @@
         if row.left_at_s is not None
         and abs(row.started_at_s - current.started_at_s) < CLOCK_AGREEMENT_S
     ]
-    if len(witnesses) < max(FEWEST_WITNESSES, len(others) // 2):
+    if len(witnesses) < max(MIN_CLOCK_PEERS, len(others) // 2):
         return None
     started_at_s = statistics.median(row.started_at_s for row in witnesses)
     return _age_s(previous, current, lead_s, started_at_s - current.started_at_s)
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -6,10 +6,10 @@
 from nose2.tools import params
 
 from celerytrack.endpoint import Registration
-from celerytrack.endpoints import GONE_GRACE_S, EndpointBook, Registered
+from celerytrack.endpoints import DEREGISTERED_GRACE_S, EndpointPool, RegistrationChange
 from celerytrack.eras import REWRITE_GRACE_S, Era, EraStatus, EraTracker
 from celerytrack.ids import AccountId, EndpointId, EntryId, ServiceName, Zone
-from celerytrack.members import Member, MemberState, MemberView
+from celerytrack.members import Member, MembershipView, MemberState
 from celerytrack.platform.log_format import decode_era
 from celerytrack.platform.rows import decode_member, encode_member
 from celerytrack.prepaid import AccountClaim, PrepaidBudgets
@@ -205,7 +205,7 @@
     )
     def test_only_a_newer_row_replaces_another(self, known, read, replaced):
         """Guards against announcing a leaving entry to callers, from its old row."""
-        view = MemberView(ME)
+        view = MembershipView(ME)
         view.fold(_member(**known, state=MemberState.LEAVING), 0.0)
         view.fold(_member(**read), 1.0)
         self.assertIs(view.member(PEER).state is MemberState.SERVING, replaced)
@@ -224,21 +224,21 @@
 
 class RestoredRegistrationTest(unittest.TestCase):
     def _left(self, forgotten):
-        pool = EndpointBook(Zone("z"), random.Random(1))
+        pool = EndpointPool(Zone("z"), random.Random(1))
         pool.register(_registration(5), 0.0)
-        pool.dropped(EndpointId("e"), 1.0)
+        pool.mark_deregistered(EndpointId("e"), 1.0)
         if forgotten:
-            pool.forget_gone(1.1 + GONE_GRACE_S)
+            pool.evict_deregistered(1.1 + DEREGISTERED_GRACE_S)
         return pool
 
     @params(
         # Whether the endpoint is forgotten, the record in the backup, the result.
-        (False, _registration(5), Registered.STALE),
-        (False, _registration(4), Registered.STALE),
-        (False, _registration(6), Registered.SAME),
-        (True, _registration(5), Registered.STALE),
-        (True, _registration(6), Registered.NEW),
-        (True, _registration(1, born_ms=2), Registered.NEW),
+        (False, _registration(5), RegistrationChange.STALE),
+        (False, _registration(4), RegistrationChange.STALE),
+        (False, _registration(6), RegistrationChange.SAME),
+        (True, _registration(5), RegistrationChange.STALE),
+        (True, _registration(6), RegistrationChange.NEW),
+        (True, _registration(1, born_ms=2), RegistrationChange.NEW),
     )
     def test_only_a_newer_record_registers_a_departed_endpoint(
         self, forgotten, record, result
@@ -246,18 +246,18 @@
         """Guards against sending requests to an endpoint that left, because the backup
         holds its last record."""
         pool = self._left(forgotten)
-        pool.restored()
+        pool.on_log_restored()
         self.assertIs(pool.register(record, 2.0), result)
-        registered = pool.ids() == [EndpointId("e")]
-        self.assertIs(registered, result is not Registered.STALE)
+        registered = pool.registered_ids() == [EndpointId("e")]
+        self.assertIs(registered, result is not RegistrationChange.STALE)
 
     def test_without_a_restore_a_lapsed_record_is_unchanged_when_it_returns(self):
         self.assertIs(
-            self._left(False).register(_registration(5), 2.0), Registered.SAME
+            self._left(False).register(_registration(5), 2.0), RegistrationChange.SAME
         )
 
     def test_missing_registrations_expire(self):
-        pool = EndpointBook(Zone("z"), random.Random(1))
+        pool = EndpointPool(Zone("z"), random.Random(1))
         pool.restores.mark_missing(EndpointId("e"), 1.0)
         pool.restores.mark_missing(EndpointId("f"), 1.0)
         pool.restores.mark_written(EndpointId("f"))
--- a/tests/test_own_end.py
+++ b/tests/test_own_end.py
@@ -1,4 +1,4 @@
-"""Ends of a process that it did not plan, beside requests in progress."""
+"""Unplanned exits of a process while requests are in progress."""
 
 import asyncio
 import unittest
@@ -12,12 +12,12 @@
 
 class FencedTest(unittest.TestCase):
     @params(
-        # what is in progress, the answer's status, whether it is whole
+        # script of the endpoint, path, status of the answer, whether it is complete
         (_long_stream, "/stream/x", 200, False),
         (_slow_answer, "/once/x", 504, True),
     )
-    def test_what_is_in_progress_is_answered(self, script, path, status, whole):
-        """Guards against connections closed without an answer by a fenced process."""
+    def test_requests_in_progress_are_answered(self, script, path, status, whole):
+        """Guards against a fenced process that closes connections without an answer."""
         asyncio.run(self._answered(script, path, status, whole))
 
     async def _answered(
@@ -29,7 +29,7 @@
             producers = site.log.topic(ENTRIES_TOPIC).producers
             for name, (epoch, number) in list(producers.items()):
                 producers[name] = (epoch + 1, number)
-            self.assertEqual(await site.gateway.ended(3.0), 1)
+            self.assertEqual(await site.gateway.wait_for_exit(3.0), 1)
             outcomes = await asyncio.gather(*asking)
             got = [(outcome.status, outcome.whole) for outcome in outcomes]
             self.assertEqual(got, [(status, whole)] * 4)
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -19,7 +19,7 @@
 from tests.gateway_fleet import (
     HOST,
     KEY,
-    SEAL,
+    SEAL_HEADERS,
     Endpoint,
     Fleet,
     Script,
@@ -42,7 +42,7 @@
 
 
 def _echo(request: web.BaseRequest) -> dict[str, str]:
-    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+    return {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
 
 
 async def _long_stream(request: web.BaseRequest) -> web.StreamResponse:
@@ -269,7 +269,7 @@
             site.gateway.signal(signal.SIGTERM)
             asked: dict[str, asyncio.Task[Outcome]] = {}
             # One at a time, with moments at which none is in progress.
-            while await site.gateway.ended(0.45) is None:
+            while await site.gateway.wait_for_exit(0.45) is None:
                 name = f"r{len(asked)}"
                 task = asyncio.create_task(site.ask("/once/x", request_id=name))
                 asked[name] = task
@@ -297,12 +297,14 @@
     async def _told_directly(self) -> None:
         good = Endpoint("i-1", _large_answer)
         async with Fleet(good, gateways=2) as fleet:
-            views = [gateway.keeper.members for gateway in fleet.gateways]
-            await fleet.until(lambda: all(len(v.live(1e9)) == 1 for v in views))
+            views = [gateway.share_sync.members for gateway in fleet.gateways]
+            await fleet.wait_until(
+                lambda: all(len(v.live_peers(1e9)) == 1 for v in views)
+            )
             fleet.log.down = True
             await asyncio.sleep(0.5)
             fleet.servers[0].stop()
-            await fleet.until(lambda: not views[1].live(1e9), 0.3)
+            await fleet.wait_until(lambda: not views[1].live_peers(1e9), 0.3)
 
     def test_the_last_row_gives_the_unspent_tokens_back(self):
         """Guards against tokens that count as spent since a stop wrote no last row."""
@@ -315,7 +317,7 @@
                 server.stop()
                 # Each in another moment between two of its rows.
                 await asyncio.sleep(0.07)
-            await fleet.until(fleet.ended)
+            await fleet.wait_until(fleet.ended)
             rows = [fleet.newest_row(f"e{i}") for i in range(4)]
         self.assertEqual([row.shares[T].claimed_tokens for row in rows], [0] * 4)
 
@@ -323,10 +325,10 @@
         """Stop the gateway; how long it took to end by itself."""
         began_s = time.monotonic()
         site.gateway.signal(signal.SIGTERM)
-        status = await site.gateway.ended(GRACE_S)
+        status = await site.gateway.wait_for_exit(GRACE_S)
         took_s = time.monotonic() - began_s
-        self.assertEqual(status, 0, site.gateway.lines("stop_stage"))
-        self.assertEqual(len(site.gateway.lines("process_stopped")), 1)
+        self.assertEqual(status, 0, site.gateway.log_records("stop_stage"))
+        self.assertEqual(len(site.gateway.log_records("process_stopped")), 1)
         return took_s
 
 
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -8,11 +8,11 @@
 from nose2.tools import params
 
 from celerytrack.ids import AccountId, EntryId, Zone
-from celerytrack.links import UNEQUAL_TIMES, least_link_mbps
+from celerytrack.links import NARROW_LINK_FACTOR, min_caller_link_mbps
 from celerytrack.members import (
     Member,
+    MembershipView,
     MemberState,
-    MemberView,
     choose_addresses,
 )
 from celerytrack.prepaid import AccountClaim, PrepaidBudgets
@@ -439,7 +439,7 @@
         2 s, and rows made before that land at its return. To an entry that starts then
         with its clock set back by 2 s they look new: a late row makes the reader's
         clock appear ahead by as much as it is behind."""
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for name in ("a", "b", "c"):
             view.fold(_member(EntryId(name), made_s=98.0, offset_s=0.0), 100.0)
         self.assertIsNone(view.prompt_clock_lead_s(-2.0))
@@ -459,7 +459,7 @@
         (2.4, 8.0, 10.4),
     )
     def test_late_rows_never_hide_a_clock_that_is_ahead(self, ahead_s, late_s, lead_s):
-        view = MemberView(ME)
+        view = MembershipView(ME)
         self.assertIsNone(view.clock_lead_s(1_000.0))
         for entry in (PEER, THIRD):
             # Made at wall time 1,100 s, which is 100 s on this monotonic clock.
@@ -467,7 +467,7 @@
         self.assertAlmostEqual(view.clock_lead_s(1_000.0 + ahead_s), lead_s)
 
     def test_a_clock_set_after_the_rows_were_read_is_detected(self):
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for entry in (PEER, THIRD):
             view.fold(_member(entry, made_s=100.0), 100.1)
         self.assertAlmostEqual(view.clock_lead_s(0.0), 0.1)
@@ -480,7 +480,7 @@
         which say that their clock is 8 s ahead. After a power loss, the age of such a
         row is unknown and its whole claim counts as spent: in a fleet of 195 a third of
         the paid requests was refused from then to the end of the day."""
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for made_s, read_s in ((21.0, 21.1), (22.0, 22.1), (23.0, 31.7)):
             for entry in (PEER, THIRD):
                 view.fold(_member(entry, made_s=made_s), read_s)
@@ -489,23 +489,23 @@
 
 class MemberViewTest(unittest.TestCase):
     def test_entries_go_silent_only_while_the_log_is_read(self):
-        view = MemberView(ME)
+        view = MembershipView(ME)
         for second in range(20):
-            view.read_ok(float(second))
+            view.record_read(float(second))
             view.fold(_member(THIRD), float(second))
             if second < 10:
                 view.fold(_member(PEER), float(second))
-        self.assertEqual([m.entry_id for m in view.live(19.5)], [THIRD])
+        self.assertEqual([m.entry_id for m in view.live_peers(19.5)], [THIRD])
         # The log is unavailable: the last view stays valid.
-        self.assertEqual(len(view.live(40.0)), 2)
-        view.read_ok(40.0)
-        self.assertEqual(len(view.live(40.1)), 2)
+        self.assertEqual(len(view.live_peers(40.0)), 2)
+        view.record_read(40.0)
+        self.assertEqual(len(view.live_peers(40.1)), 2)
 
     def test_a_leaving_entry_is_not_live(self):
-        view = MemberView(ME)
-        view.read_ok(0.0)
+        view = MembershipView(ME)
+        view.record_read(0.0)
         view.fold(_member(PEER, state=MemberState.LEAVING), 0.0)
-        self.assertEqual(view.live(0.1), [])
+        self.assertEqual(view.live_peers(0.1), [])
 
     @params((6, 0.3), (80, 80 / 60), (300, 5.0))
     def test_the_row_rate_is_bounded_in_large_fleets(self, entries, expected_s):
@@ -538,18 +538,18 @@
     @params(
         # links, the slowest one that takes callers
         ([], 0.0),
-        ([NARROW] * 9, NARROW / UNEQUAL_TIMES),
+        ([NARROW] * 9, NARROW / NARROW_LINK_FACTOR),
         ([0.0] * 9, 0.0),
-        ([WIDE] * 6 + [NARROW] * 58, WIDE / UNEQUAL_TIMES),
+        ([WIDE] * 6 + [NARROW] * 58, WIDE / NARROW_LINK_FACTOR),
         # A few entries would have to carry the load of twenty times as many.
         ([WIDE] * 4 + [NARROW] * 200, 0.0),
         # Too few to tolerate the loss of one.
         ([WIDE] * 3 + [NARROW] * 10, 0.0),
         # The links differ too little.
-        ([WIDE] * 6 + [WIDE / 4] * 20, WIDE / UNEQUAL_TIMES),
+        ([WIDE] * 6 + [WIDE / 4] * 20, WIDE / NARROW_LINK_FACTOR),
     )
     def test_which_entries_take_clients(self, links_mbps, least_mbps):
-        self.assertEqual(least_link_mbps(links_mbps), least_mbps)
+        self.assertEqual(min_caller_link_mbps(links_mbps), least_mbps)
 
     @params(
         # an entry's own link, and how many parts the callers, the fleet-wide limits
@@ -561,20 +561,20 @@
         self, own_mbps, taking, allowances, parts
     ):
         view = _fleet_view(own_mbps, {})
-        division = view.division(0.1)
-        self.assertEqual(division.taking, taking)
-        self.assertEqual(division.allowances, allowances)
-        self.assertEqual(division.parts, parts)
-        announced = choose_addresses(view.live(0.1), Zone("z"), random.Random(1))
+        division = view.caller_split(0.1)
+        self.assertEqual(division.caller_entries, taking)
+        self.assertEqual(division.rate_limit_shares, allowances)
+        self.assertEqual(division.account_shares, parts)
+        announced = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
         self.assertEqual(set(announced), {str(WIDE)})
 
     def test_all_entries_are_announced_without_wide_links(self):
-        view = MemberView(ME, NARROW)
+        view = MembershipView(ME, NARROW)
         for i in range(10):
             member = _member(EntryId(f"e{i}"))
             view.fold(attrs.evolve(member, link_mbps=NARROW), 0.0)
-        self.assertEqual(view.division(0.1).taking, 11)
-        announced = choose_addresses(view.live(0.1), Zone("z"), random.Random(1))
+        self.assertEqual(view.caller_split(0.1).caller_entries, 11)
+        announced = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
         self.assertEqual(len(announced), 10)
 
 
@@ -583,7 +583,7 @@
 
     :param rates: tokens a second that entries spend, by name; ``ME`` among them.
     """
-    view = MemberView(ME, own_mbps)
+    view = MembershipView(ME, own_mbps)
     links = [WIDE] * 6 + [NARROW] * 58
     links.remove(own_mbps)
     entries = {EntryId(f"e{i}"): mbps for i, mbps in enumerate(links)}
@@ -619,16 +619,16 @@
     def test_an_unannounced_entry_with_clients_of_its_own_counts_as_taking(
         self, rate, own_mbps, allowances, taking
     ):
-        division = _fleet_view(own_mbps, {**self.ANNOUNCED, ME: rate}).division(0.1)
-        self.assertEqual(division.allowances, allowances)
-        self.assertEqual(division.taking, taking)
+        division = _fleet_view(own_mbps, {**self.ANNOUNCED, ME: rate}).caller_split(0.1)
+        self.assertEqual(division.rate_limit_shares, allowances)
+        self.assertEqual(division.caller_entries, taking)
 
     @params((20_000, 7), (900, 6))
     def test_the_other_entries_count_its_part(self, rate, taking):
         rates = {EntryId("e0"): 10_000, EntryId("e20"): rate, ME: 10_000}
         rates |= {EntryId(f"e{i}"): 10_000 for i in range(1, 5)}
-        division = _fleet_view(WIDE, rates).division(0.1)
-        self.assertEqual(division.allowances, taking)
+        division = _fleet_view(WIDE, rates).caller_split(0.1)
+        self.assertEqual(division.rate_limit_shares, taking)
 
     @params(
         # what this entry spends, and the fleet's work as a multiple of its own
@@ -638,15 +638,15 @@
         (60_000, 2.0),
     )
     def test_load_times_follows_its_part_of_the_spend(self, rate, times):
-        division = _fleet_view(NARROW, {**self.ANNOUNCED, ME: rate}).division(0.1)
-        self.assertAlmostEqual(division.load_times, times)
+        division = _fleet_view(NARROW, {**self.ANNOUNCED, ME: rate}).caller_split(0.1)
+        self.assertAlmostEqual(division.fleet_load_ratio, times)
 
     def test_only_entries_with_clients_receive_notes_of_prompts(self):
         """Guards against notes to the first hundred entries of 195 in the order of
         their start: most of the entries that place prompts received none."""
         rates = {**self.ANNOUNCED, EntryId("e50"): 20_000}
-        division = _fleet_view(NARROW, rates).division(0.1)
-        notified = {member.entry_id for member in division.sharers}
+        division = _fleet_view(NARROW, rates).caller_split(0.1)
+        notified = {member.entry_id for member in division.caller_peers}
         self.assertEqual(notified, set(rates))
 
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""What is concluded from endpoints that end under requests."""
+"""Quarantine of requests by the endpoint crashes during which they ran."""
 
 import random
 import unittest
@@ -7,8 +7,13 @@
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from celerytrack.findings import Ending, Evidence, Findings, Trial
-from celerytrack.fingerprint import Fingerprint, Place, fingerprint_of, place_in
+from celerytrack.findings import Crash, Evidence, Findings, Probe
+from celerytrack.fingerprint import (
+    Fingerprint,
+    FingerprintPrefix,
+    fingerprint_of,
+    prefix_in,
+)
 from celerytrack.ids import EndpointId, EntryId
 from celerytrack.platform.suspect_records import (
     FindingsError,
@@ -16,216 +21,225 @@
     encode_findings,
 )
 from celerytrack.suspects import (
-    MOST_SUSPECTS,
-    MOST_TOLD,
-    QUARANTINES_S,
-    SUSPECT_KEPT_S,
-    Standing,
-    SuspectBook,
+    MAX_PUBLISHED,
+    MAX_SUSPECTS,
+    QUARANTINE_PERIODS_S,
+    SUSPECT_TTL_S,
+    SuspectState,
+    SuspectTracker,
 )
 
 ME = EntryId("e0")
 OTHER = EntryId("e1")
-PLACE = Place(b"place!")
-BAD = fingerprint_of(PLACE, b"bad")
-GOOD = fingerprint_of(PLACE, b"good")
+PREFIX = FingerprintPrefix(b"place!")
+BAD = fingerprint_of(PREFIX, b"bad")
+GOOD = fingerprint_of(PREFIX, b"good")
 V1 = "s v1"
 V2 = "s v2"
 
 
-def _ending(number: int, build: str = V1) -> Ending:
-    return Ending(EndpointId(f"i-{number}"), 0, build)
+def _ending(number: int, build: str = V1) -> Crash:
+    return Crash(EndpointId(f"i-{number}"), 0, build)
 
 
 def _book(
     endings: int, fingerprint: Fingerprint = BAD, at_s: float = 0.0
-) -> SuspectBook:
-    book = SuspectBook(ME)
+) -> SuspectTracker:
+    book = SuspectTracker(ME)
     for number in range(endings):
-        book.witnessed(_ending(number), [fingerprint], at_s)
+        book.record_crash(_ending(number), [fingerprint], at_s)
     return book
 
 
 class StandingTest(unittest.TestCase):
     @params(
-        (0, Standing.CLEAR),
-        (1, Standing.WATCHED),
-        (2, Standing.ALONE),
-        (3, Standing.SHUT_OUT),
-        (6, Standing.SHUT_OUT),
+        (0, SuspectState.CLEAR),
+        (1, SuspectState.WATCHED),
+        (2, SuspectState.PROBE_ONLY),
+        (3, SuspectState.QUARANTINED),
+        (6, SuspectState.QUARANTINED),
     )
-    def test_a_request_stands_as_often_as_endpoints_ended(
-        self, endings: int, standing: Standing
+    def test_the_state_follows_the_number_of_crashes(
+        self, endings: int, state: SuspectState
     ) -> None:
-        self.assertEqual(_book(endings).standing(BAD, {V1}, 1.0), standing)
+        self.assertEqual(_book(endings).state_of(BAD, {V1}, 1.0), state)
 
-    def test_one_start_that_ended_counts_once_whoever_saw_it(self) -> None:
+    def test_a_crash_reported_by_several_entries_counts_once(self) -> None:
         book = _book(1)
         for entry in "abc":
             seen = (Evidence(BAD, _ending(0)),)
-            book.heard(Findings(EntryId(entry), seen), False, 1.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.WATCHED)
+            book.merge(Findings(EntryId(entry), seen), False, 1.0)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.WATCHED)
 
-    def test_starts_under_one_id_are_told_apart(self) -> None:
-        book = SuspectBook(ME)
+    def test_crashes_of_restarts_under_one_id_all_count(self) -> None:
+        book = SuspectTracker(ME)
         for born_ms in (1, 2, 3):
-            ending = Ending(EndpointId("i-0"), born_ms, V1)
-            book.witnessed(ending, [BAD], 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
-
-    def test_evidence_of_entries_that_tried_once_each_adds_up(self) -> None:
-        """One try by each of many entries ended more endpoints than one entry may."""
-        book = SuspectBook(ME)
+            ending = Crash(EndpointId("i-0"), born_ms, V1)
+            book.record_crash(ending, [BAD], 0.0)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+
+    def test_evidence_of_several_entries_adds_up(self) -> None:
+        """Many entries that each sent the request once crashed more endpoints than the
+        limit allows."""
+        book = SuspectTracker(ME)
         for number in range(3):
             seen = (Evidence(BAD, _ending(number)),)
-            book.heard(Findings(EntryId(f"x{number}"), seen), False, 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
+            book.merge(Findings(EntryId(f"x{number}"), seen), False, 0.0)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
-    def test_two_crashing_requests_are_both_found_and_what_ends_well_is_not(
+    def test_two_crashing_requests_are_quarantined_and_a_successful_one_is_not(
         self,
     ) -> None:
-        """Harmless requests shared the blame of two that ended endpoints together."""
-        book = SuspectBook(ME)
-        worse = fingerprint_of(PLACE, b"worse")
+        """A harmless request that ran beside two crashing ones was suspected too."""
+        book = SuspectTracker(ME)
+        worse = fingerprint_of(PREFIX, b"worse")
         for number in range(3):
-            book.witnessed(_ending(number), [BAD, worse, GOOD], 0.0)
-            book.forgive(GOOD, 0.1)
+            book.record_crash(_ending(number), [BAD, worse, GOOD], 0.0)
+            book.record_success(GOOD, 0.1)
         for fingerprint in (BAD, worse):
-            self.assertEqual(book.standing(fingerprint, {V1}, 1.0), Standing.SHUT_OUT)
-        self.assertEqual(book.standing(GOOD, {V1}, 1.0), Standing.CLEAR)
+            self.assertEqual(
+                book.state_of(fingerprint, {V1}, 1.0), SuspectState.QUARANTINED
+            )
+        self.assertEqual(book.state_of(GOOD, {V1}, 1.0), SuspectState.CLEAR)
 
-    def test_what_was_forgiven_stays_so_when_it_is_told_again(self) -> None:
+    def test_cleared_evidence_stays_cleared_when_it_is_reported_again(self) -> None:
         book = _book(2)
-        book.forgive(BAD, 1.0)
+        book.record_success(BAD, 1.0)
         seen = tuple(Evidence(BAD, _ending(n)) for n in range(2))
-        book.heard(Findings(OTHER, seen), True, 2.0)
-        self.assertEqual(book.standing(BAD, {V1}, 2.0), Standing.CLEAR)
+        book.merge(Findings(OTHER, seen), True, 2.0)
+        self.assertEqual(book.state_of(BAD, {V1}, 2.0), SuspectState.CLEAR)
 
 
-class WayBackTest(unittest.TestCase):
-    @params((3, QUARANTINES_S[0]), (4, QUARANTINES_S[1]), (5, QUARANTINES_S[2]))
-    def test_each_ending_more_shuts_out_for_longer(
+class QuarantineEndTest(unittest.TestCase):
+    @params(
+        (3, QUARANTINE_PERIODS_S[0]),
+        (4, QUARANTINE_PERIODS_S[1]),
+        (5, QUARANTINE_PERIODS_S[2]),
+    )
+    def test_each_further_crash_extends_the_quarantine(
         self, endings: int, lasts_s: float
     ) -> None:
         book = _book(endings)
-        self.assertEqual(book.back_in_s(BAD, 0.0), lasts_s)
-        early = book.standing(BAD, {V1}, lasts_s - 0.1)
-        self.assertEqual(early, Standing.SHUT_OUT)
-        self.assertEqual(book.standing(BAD, {V1}, lasts_s), Standing.ALONE)
+        self.assertEqual(book.retry_after_s(BAD, 0.0), lasts_s)
+        early = book.state_of(BAD, {V1}, lasts_s - 0.1)
+        self.assertEqual(early, SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V1}, lasts_s), SuspectState.PROBE_ONLY)
 
-    def test_after_three_tries_more_only_an_operator_lets_it_back(self) -> None:
-        """Tries of a request that is known ended endpoints for ever, now and then."""
+    def test_after_three_probes_only_an_operator_ends_the_quarantine(self) -> None:
+        """Probes of a request that is known to crash endpoints went on for ever."""
         book = _book(6)
-        self.assertIsNone(book.back_in_s(BAD, 1e9))
-        self.assertEqual(book.standing(BAD, {V1}, 1e9), Standing.SHUT_OUT)
-        self.assertEqual(book.standing(BAD, {V2}, 1e9), Standing.SHUT_OUT)
-        book.forgive(BAD, 1e9)
-        self.assertEqual(book.standing(BAD, {V1}, 1e9), Standing.CLEAR)
+        self.assertIsNone(book.retry_after_s(BAD, 1e9))
+        self.assertEqual(book.state_of(BAD, {V1}, 1e9), SuspectState.QUARANTINED)
+        self.assertEqual(book.state_of(BAD, {V2}, 1e9), SuspectState.QUARANTINED)
+        book.record_success(BAD, 1e9)
+        self.assertEqual(book.state_of(BAD, {V1}, 1e9), SuspectState.CLEAR)
 
     @params(
-        ({V2}, Standing.ALONE),
-        ({V1, V2}, Standing.SHUT_OUT),
-        (set(), Standing.SHUT_OUT),
+        ({V2}, SuspectState.PROBE_ONLY),
+        ({V1, V2}, SuspectState.QUARANTINED),
+        (set(), SuspectState.QUARANTINED),
     )
-    def test_other_builds_alone_are_reason_to_try_again(
-        self, builds: set[str], standing: Standing
+    def test_a_probe_is_allowed_once_all_builds_differ(
+        self, builds: set[str], state: SuspectState
     ) -> None:
-        self.assertEqual(_book(3).standing(BAD, builds, 1.0), standing)
+        self.assertEqual(_book(3).state_of(BAD, builds, 1.0), state)
 
-    def test_a_try_at_another_build_that_ends_it_is_the_last_for_long(self) -> None:
+    def test_a_crash_of_another_build_quarantines_again(self) -> None:
         book = _book(3)
-        book.witnessed(_ending(9, V2), [BAD], 1.0)
-        self.assertEqual(book.standing(BAD, {V2}, 2.0), Standing.SHUT_OUT)
+        book.record_crash(_ending(9, V2), [BAD], 1.0)
+        self.assertEqual(book.state_of(BAD, {V2}, 2.0), SuspectState.QUARANTINED)
 
 
-class TrialTest(unittest.TestCase):
-    def _trial(self, lasts_s: float = 5.0) -> Trial:
-        return Trial(BAD, EndpointId("i-9"), lasts_s)
+class ProbeTest(unittest.TestCase):
+    def _probe(self, lasts_s: float = 5.0) -> Probe:
+        return Probe(BAD, EndpointId("i-9"), lasts_s)
 
-    def test_one_entry_at_a_time_tries_a_request(self) -> None:
+    def test_one_entry_at_a_time_probes_a_request(self) -> None:
         book = _book(2)
-        self.assertIsNotNone(book.claim(self._trial(), 0.0))
-        self.assertIsNone(book.claim(self._trial(), 1.0))
-        book.release(BAD)
-        self.assertIsNotNone(book.claim(self._trial(), 2.0))
+        self.assertIsNotNone(book.begin_probe(self._probe(), 0.0))
+        self.assertIsNone(book.begin_probe(self._probe(), 1.0))
+        book.cancel_probe(BAD)
+        self.assertIsNotNone(book.begin_probe(self._probe(), 2.0))
 
-    def test_a_trial_of_an_entry_that_is_gone_ends(self) -> None:
+    def test_a_probe_of_an_entry_that_is_gone_expires(self) -> None:
         book = _book(2)
-        book.heard(Findings(OTHER, trials=(self._trial(),)), False, 0.0)
-        self.assertIsNone(book.claim(self._trial(), 4.9))
-        self.assertIsNotNone(book.claim(self._trial(), 5.0))
+        book.merge(Findings(OTHER, probes=(self._probe(),)), False, 0.0)
+        self.assertIsNone(book.begin_probe(self._probe(), 4.9))
+        self.assertIsNotNone(book.begin_probe(self._probe(), 5.0))
 
     @params((EntryId("a"), False), (EntryId("z"), True))
-    def test_of_two_trials_begun_together_one_goes_on(
-        self, other: EntryId, mine: bool
+    def test_of_two_concurrent_probes_the_lower_entry_id_wins(
+        self, other: EntryId, wins: bool
     ) -> None:
         book = _book(2)
-        book.claim(self._trial(), 0.0)
-        book.heard(Findings(other, trials=(self._trial(),)), False, 0.001)
-        self.assertEqual(book.holds(BAD), mine)
+        book.begin_probe(self._probe(), 0.0)
+        book.merge(Findings(other, probes=(self._probe(),)), False, 0.001)
+        self.assertEqual(book.is_probing(BAD), wins)
 
     @params(
         (
-            "its endpoint ended",
-            lambda b: b.witnessed(Ending(EndpointId("i-9")), [BAD], 1),
+            "its endpoint crashed",
+            lambda b: b.record_crash(Crash(EndpointId("i-9")), [BAD], 1),
         ),
-        ("it ended well", lambda b: b.forgive(BAD, 1.0)),
-        ("another entry says so", lambda b: b.heard(Findings(ME), True, 1.0)),
+        ("the request succeeded", lambda b: b.record_success(BAD, 1.0)),
+        ("its record no longer lists it", lambda b: b.merge(Findings(ME), True, 1.0)),
     )
-    def test_a_trial_is_over_when(self, _: str, happens: object) -> None:
+    def test_a_probe_is_over_when(self, _: str, act: object) -> None:
         book = _book(2)
-        book.claim(self._trial(), 0.0)
-        happens(book)  # type: ignore[operator]
-        self.assertFalse(book.holds(BAD))
-        self.assertEqual(book.endpoints_on_trial(1.0), set())
+        book.begin_probe(self._probe(), 0.0)
+        act(book)  # type: ignore[operator]
+        self.assertFalse(book.is_probing(BAD))
+        self.assertEqual(book.probed_endpoints(1.0), set())
 
 
-class MemoryTest(unittest.TestCase):
-    def test_a_request_that_ended_few_is_forgotten_and_one_shut_out_is_not(
+class ExpiryTest(unittest.TestCase):
+    def test_a_suspect_expires_and_a_quarantined_request_does_not(
         self,
     ) -> None:
         book = _book(3)
-        book.witnessed(_ending(0), [GOOD], 0.0)
-        book.forget(SUSPECT_KEPT_S + 1)
+        book.record_crash(_ending(0), [GOOD], 0.0)
+        book.expire(SUSPECT_TTL_S + 1)
         self.assertEqual(len(book), 1)
-        self.assertTrue(book.watches(place_in(BAD)))
+        self.assertTrue(book.has_prefix(prefix_in(BAD)))
 
-    def test_trials_of_entries_that_are_gone_are_forgotten(self) -> None:
-        """Each claim that was never ended stayed, and each request looked at it."""
+    def test_probes_of_entries_that_are_gone_are_removed(self) -> None:
+        """Probes that were never ended stayed in memory and were scanned for each
+        request."""
         book = _book(2)
         trials = tuple(
-            Trial(fingerprint_of(PLACE, b"%d" % n), EndpointId("i-9"), 5.0)
+            Probe(fingerprint_of(PREFIX, b"%d" % n), EndpointId("i-9"), 5.0)
             for n in range(100)
         )
-        book.heard(Findings(OTHER, trials=trials), False, 0.0)
-        book.forget(4.0)
-        self.assertEqual(len(book._trials), 100)
-        book.forget(6.0)
-        self.assertEqual(len(book._trials), 0)
+        book.merge(Findings(OTHER, probes=trials), False, 0.0)
+        book.expire(4.0)
+        self.assertEqual(len(book._probes), 100)
+        book.expire(6.0)
+        self.assertEqual(len(book._probes), 0)
 
-    def test_thousands_under_suspicion_leave_the_weightiest(self) -> None:
+    def test_eviction_keeps_the_requests_with_most_crashes(self) -> None:
         book = _book(3)
         many = [
-            fingerprint_of(Place(b"other!"), b"%d" % n) for n in range(MOST_SUSPECTS)
+            fingerprint_of(FingerprintPrefix(b"other!"), b"%d" % n)
+            for n in range(MAX_SUSPECTS)
         ]
-        book.witnessed(_ending(7), many, 1.0)
-        self.assertLessEqual(len(book), MOST_SUSPECTS)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
-        record = book.record(1.0)
-        self.assertEqual(len(record.seen), MOST_TOLD)
-        self.assertIn(BAD, {evidence.fingerprint for evidence in record.seen})
-
-    def test_a_start_takes_over_what_the_one_before_found(self) -> None:
-        before = _book(3)
-        book = SuspectBook(ME)
-        book.adopt(before.record(1.0), 0.0)
-        self.assertEqual(book.standing(BAD, {V1}, 1.0), Standing.SHUT_OUT)
-        self.assertEqual(book.record(1.0), before.record(1.0))
-
-    def test_nothing_is_told_when_all_is_forgiven_once(self) -> None:
+        book.record_crash(_ending(7), many, 1.0)
+        self.assertLessEqual(len(book), MAX_SUSPECTS)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        record = book.own_findings(1.0)
+        self.assertEqual(len(record.evidence), MAX_PUBLISHED)
+        self.assertIn(BAD, {evidence.fingerprint for evidence in record.evidence})
+
+    def test_findings_survive_a_restart_of_the_entry(self) -> None:
+        previous = _book(3)
+        book = SuspectTracker(ME)
+        book.restore_own(previous.own_findings(1.0), 0.0)
+        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        self.assertEqual(book.own_findings(1.0), previous.own_findings(1.0))
+
+    def test_clearing_a_single_crash_is_not_reported(self) -> None:
         book = _book(1)
-        self.assertTrue(book.forgive(BAD, 1.0).empty)
-        self.assertTrue(book.record(1.0).empty)
+        self.assertTrue(book.record_success(BAD, 1.0).is_empty)
+        self.assertTrue(book.own_findings(1.0).is_empty)
 
 
 _EVIDENCE = st.tuples(st.sampled_from((BAD, GOOD)), st.integers(0, 4))
@@ -238,35 +252,35 @@
         forgiven=st.lists(_EVIDENCE, max_size=4),
         seed=st.integers(0, 1_000),
     )
-    def test_all_come_to_the_same_whatever_order_they_hear_in(
+    def test_the_state_does_not_depend_on_the_order_of_findings(
         self,
         seen: list[tuple[Fingerprint, int]],
         forgiven: list[tuple[Fingerprint, int]],
         seed: int,
     ) -> None:
-        """A note that came late or twice must not make entries judge differently."""
-        told = [Findings(OTHER, seen=(Evidence(f, _ending(n)),)) for f, n in seen]
-        told += [
-            Findings(OTHER, forgiven=(Evidence(f, _ending(n)),)) for f, n in forgiven
+        """Notes arrive late or twice; entries must still reach the same state."""
+        sent = [Findings(OTHER, evidence=(Evidence(f, _ending(n)),)) for f, n in seen]
+        sent += [
+            Findings(OTHER, cleared=(Evidence(f, _ending(n)),)) for f, n in forgiven
         ]
-        shuffled = [*told, *told[::2]]
+        shuffled = [*sent, *sent[::2]]
         random.Random(seed).shuffle(shuffled)
-        books = (SuspectBook(ME), SuspectBook(ME))
-        for book, findings in zip(books, (told, shuffled), strict=True):
+        books = (SuspectTracker(ME), SuspectTracker(ME))
+        for book, findings in zip(books, (sent, shuffled), strict=True):
             for one in findings:
-                book.heard(one, False, 0.0)
+                book.merge(one, False, 0.0)
         for fingerprint in (BAD, GOOD):
-            standings = {book.standing(fingerprint, {V1}, 1.0) for book in books}
-            self.assertEqual(len(standings), 1)
+            states = {book.state_of(fingerprint, {V1}, 1.0) for book in books}
+            self.assertEqual(len(states), 1)
 
 
 class CodecTest(unittest.TestCase):
-    def test_what_is_told_is_read_as_told(self) -> None:
+    def test_findings_survive_encoding(self) -> None:
         findings = Findings(
             ME,
             (Evidence(BAD, _ending(1)),),
-            (Evidence(GOOD, Ending(EndpointId("i-2"), 7, V2)),),
-            (Trial(BAD, EndpointId("i-3"), 2.5),),
+            (Evidence(GOOD, Crash(EndpointId("i-2"), 7, V2)),),
+            (Probe(BAD, EndpointId("i-3"), 2.5),),
             (1_700_000_000,),
         )
         self.assertEqual(decode_findings(encode_findings(findings)), findings)
@@ -280,13 +294,13 @@
         b"\x95\xa8suspects\xa1e\x91\x95\xc4\x01x\xa1i\x00\xa1b\x00\x90\x90",
         b"\x95\xa8suspects\xa1e\x90\x90\x91\x93\xc4\x10" + 16 * b"x" + b"\xa1i\xff",
     )
-    def test_bytes_that_tell_nothing_are_rejected(self, raw: bytes) -> None:
+    def test_malformed_bytes_are_rejected(self, raw: bytes) -> None:
         with self.assertRaises(FindingsError):
             decode_findings(raw)
 
     @settings(max_examples=200, deadline=None)
     @given(raw=st.binary(max_size=80))
-    def test_no_bytes_do_harm(self, raw: bytes) -> None:
+    def test_arbitrary_bytes_raise_only_findings_errors(self, raw: bytes) -> None:
         for data in (raw, b"\x95\xa8suspects\xa1e" + raw):
             try:
                 decode_findings(data)
