--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -78,9 +78,10 @@
 class UnlockTest(unittest.TestCase):
     def test_a_claim_unlocks_as_its_row_ages(self):
         """Guards against a limit of two fixed amounts that ignores the row's age.
-        In a partition the 3 s of immediate tokens ran out and requests were refused
-        until the rest unlocked at a row age of 4 s. At a power loss all immediate
-        tokens counted as spent, however short the time: 7 to 11 % of every total."""
+        In a partition the 3 s of immediate tokens ran out, and requests were refused
+        for a second, until the rest unlocked at a row age of 4 s. At a power loss all
+        immediate tokens counted as spent, however short the time: 7 to 11 % of every
+        total."""
         budgets = _budgets()
         claim = _write(budgets, 2, 0.0)
         ages_s = (UNLOCK_DELAY_S, UNLOCK_DELAY_S + 0.2, 2.0, 4.0, OLD_S)
@@ -90,7 +91,7 @@
         self.assertEqual(left[-1], claim.claimed_tokens)
 
     @params(0.0, 0.5, 1.7, 3.5, 9.0)
-    def test_the_next_run_counts_what_may_have_been_spent_by_then(self, age_s):
+    def test_the_next_incarnation_counts_what_may_have_been_spent_by_then(self, age_s):
         budgets = _budgets()
         claim = _write(budgets, 2, 0.0)
         spendable = budgets.available_tokens(A, age_s)
@@ -234,7 +235,7 @@
         self.assertEqual(budgets.available_tokens(A, 0.1), left)
 
 
-class MayClaimTest(unittest.TestCase):
+class CanClaimTest(unittest.TestCase):
     @params(
         # claimed by another entry, tokens, urgent, whether a row could claim them
         (50_000, 1_000, False, True),
@@ -370,8 +371,8 @@
         No entry freed its claim, a quarter of every total, and up to a third of the
         requests were refused."""
         self.assertAlmostEqual(self._age_s(0.2, age_s=8.0), 10.05)
-        apart = [_member(e, 2, 103.0, 0.0, 102.0, left_at_s=92.0) for e in "abc"]
-        self.assertAlmostEqual(self._age_s(0.2, others=apart), 2.05)
+        partitioned = [_member(e, 2, 103.0, 0.0, 102.0, left_at_s=92.0) for e in "abc"]
+        self.assertAlmostEqual(self._age_s(0.2, others=partitioned), 2.05)
 
     @params(
         # others that lost power too, others that did not, whether the age is known
@@ -380,13 +381,13 @@
         (1, 0, False),
         (2, 4, False),
     )
-    def test_most_must_be_witnesses(self, together, apart, expected):
+    def test_most_must_be_witnesses(self, together, separate, expected):
         """Guards against looking up the others' rows instead of reading their recorded
         ``left_at_s``. After a power loss of all, the last of seven entries to restart
         read rows that the first had already rewritten, so only two freed their
         claims."""
         others = self.others[:together]
-        others += [_member(f"x{i}", 1, 90.0) for i in range(apart)]
+        others += [_member(f"x{i}", 1, 90.0) for i in range(separate)]
         self.assertIs(self._age_s(0.2, others=others) is not None, expected)
 
 
@@ -487,7 +488,7 @@
         self.assertAlmostEqual(view.clock_lead_s(0.0), 0.1)
 
 
-class MemberViewTest(unittest.TestCase):
+class MembershipViewTest(unittest.TestCase):
     def test_entries_go_silent_only_while_the_log_is_read(self):
         view = MembershipView(ME)
         for second in range(20):
@@ -548,7 +549,7 @@
         # The links differ too little.
         ([WIDE] * 6 + [WIDE / 4] * 20, WIDE / NARROW_LINK_FACTOR),
     )
-    def test_which_entries_take_clients(self, links_mbps, least_mbps):
+    def test_which_entries_take_callers(self, links_mbps, least_mbps):
         self.assertEqual(min_caller_link_mbps(links_mbps), least_mbps)
 
     @params(
@@ -558,13 +559,13 @@
         (NARROW, 7, 64, math.inf),
     )
     def test_entries_with_wide_links_are_announced_and_share_the_work(
-        self, own_mbps, taking, allowances, parts
+        self, own_mbps, caller_entries, rate_shares, account_shares
     ):
         view = _fleet_view(own_mbps, {})
-        division = view.caller_split(0.1)
-        self.assertEqual(division.caller_entries, taking)
-        self.assertEqual(division.rate_limit_shares, allowances)
-        self.assertEqual(division.account_shares, parts)
+        split = view.caller_split(0.1)
+        self.assertEqual(split.caller_entries, caller_entries)
+        self.assertEqual(split.rate_limit_shares, rate_shares)
+        self.assertEqual(split.account_shares, account_shares)
         announced = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
         self.assertEqual(set(announced), {str(WIDE)})
 
@@ -581,7 +582,7 @@
 def _fleet_view(own_mbps, rates):
     """The view of one of 64 entries, six of them with wide links.
 
-    :param rates: tokens a second that entries spend, by name; ``ME`` among them.
+    :param rates: tokens per second that entries spend, by name; ``ME`` among them.
     """
     view = MembershipView(ME, own_mbps)
     links = [WIDE] * 6 + [NARROW] * 58
@@ -599,7 +600,7 @@
     return view
 
 
-class StickyClientsTest(unittest.TestCase):
+class StickyCallersTest(unittest.TestCase):
     """Guards against treating an entry with callers of its own as idle because it is
     not announced. The callers of a large account stay with one entry, whatever is
     announced. That entry wrote rows at the rate of one of 64 idle ones, two per second
@@ -611,24 +612,24 @@
     ANNOUNCED = {EntryId(f"e{i}"): 10_000 for i in range(6)}
 
     @params(
-        # what the entry spends, its link, and the expected division
+        # what the entry spends, its link, and the expected split
         (20_000, NARROW, 7, 7),
         # An occasional request does not count as callers of its own.
         (900, NARROW, 64, 7),
     )
-    def test_an_unannounced_entry_with_clients_of_its_own_counts_as_taking(
-        self, rate, own_mbps, allowances, taking
+    def test_an_unannounced_entry_with_callers_of_its_own_counts_as_taking(
+        self, rate, own_mbps, rate_shares, caller_entries
     ):
-        division = _fleet_view(own_mbps, {**self.ANNOUNCED, ME: rate}).caller_split(0.1)
-        self.assertEqual(division.rate_limit_shares, allowances)
-        self.assertEqual(division.caller_entries, taking)
+        split = _fleet_view(own_mbps, {**self.ANNOUNCED, ME: rate}).caller_split(0.1)
+        self.assertEqual(split.rate_limit_shares, rate_shares)
+        self.assertEqual(split.caller_entries, caller_entries)
 
     @params((20_000, 7), (900, 6))
-    def test_the_other_entries_count_its_part(self, rate, taking):
+    def test_the_other_entries_count_its_part(self, rate, caller_entries):
         rates = {EntryId("e0"): 10_000, EntryId("e20"): rate, ME: 10_000}
         rates |= {EntryId(f"e{i}"): 10_000 for i in range(1, 5)}
-        division = _fleet_view(WIDE, rates).caller_split(0.1)
-        self.assertEqual(division.rate_limit_shares, taking)
+        split = _fleet_view(WIDE, rates).caller_split(0.1)
+        self.assertEqual(split.rate_limit_shares, caller_entries)
 
     @params(
         # what this entry spends, and the fleet's work as a multiple of its own
@@ -637,16 +638,16 @@
         (30_000, 3.0),
         (60_000, 2.0),
     )
-    def test_load_times_follows_its_part_of_the_spend(self, rate, times):
-        division = _fleet_view(NARROW, {**self.ANNOUNCED, ME: rate}).caller_split(0.1)
-        self.assertAlmostEqual(division.fleet_load_ratio, times)
+    def test_fleet_load_ratio_follows_its_part_of_the_spend(self, rate, times):
+        split = _fleet_view(NARROW, {**self.ANNOUNCED, ME: rate}).caller_split(0.1)
+        self.assertAlmostEqual(split.fleet_load_ratio, times)
 
-    def test_only_entries_with_clients_receive_notes_of_prompts(self):
-        """Guards against notes to the first hundred entries of 195 in the order of
-        their start: most of the entries that place prompts received none."""
+    def test_only_entries_with_callers_receive_messages_about_prompts(self):
+        """Guards against sending messages about prompts to the first hundred entries of
+        195 in the order of their start: most entries that place prompts got none."""
         rates = {**self.ANNOUNCED, EntryId("e50"): 20_000}
-        division = _fleet_view(NARROW, rates).caller_split(0.1)
-        notified = {member.entry_id for member in division.caller_peers}
+        split = _fleet_view(NARROW, rates).caller_split(0.1)
+        notified = {member.entry_id for member in split.caller_peers}
         self.assertEqual(notified, set(rates))
 
 
@@ -693,7 +694,7 @@
 
 class FoldedRowsTest(unittest.TestCase):
     def test_sums_equal_those_of_the_newest_rows(self):
-        """RowSums that drift from the rows would let entries claim tokens twice."""
+        """Sums that drift from the rows would let entries claim tokens twice."""
         rng = random.Random(1)
         folded, newest = FoldedRows(ME), {}
         entries = [ME, PEER, THIRD]
--- a/tests/test_prepaid_fleet.py
+++ b/tests/test_prepaid_fleet.py
@@ -63,7 +63,7 @@
         self.assertLess(outcome.late / outcome.owed, 0.1)
 
     @params((1,), (2,))
-    def test_an_account_with_sticky_clients_does_not_wait_for_rows(self, seed):
+    def test_an_account_with_sticky_callers_does_not_wait_for_rows(self, seed):
         """Guards against the row rate of an idle entry, two per second, at an entry
         that is not announced but has callers: a request that lacked tokens waited for a
         row or was refused. In a fleet of 195 with 15 announced entries, a third of the
--- a/tests/test_restore_model.py
+++ b/tests/test_restore_model.py
@@ -49,7 +49,7 @@
     _step("leave", name=endpoint_names),
     _step("restart", name=endpoint_names),
     _step("compact"),
-    _step("cut", i=indexes, cut=st.booleans()),
+    _step("partition", i=indexes, partitioned=st.booleans()),
     _step(
         "faults",
         i=indexes,
@@ -57,7 +57,7 @@
         late_s=st.sampled_from([0.0, 0.3, 1.5]),
         slow_s=st.sampled_from([0.0, 0.5]),
     ),
-    _step("gifts", lost=st.booleans()),
+    _step("peer_replies", lost=st.booleans()),
     _step(
         "restore_log",
         away_s=st.sampled_from([0.05, 0.5, 2.0]),
@@ -88,13 +88,13 @@
             await fleet.run(0.1)
         case "compact":
             fleet.log.compact()
-        case "cut":
-            fleet.instances[arguments["i"]].store.cut = arguments["cut"]
+        case "partition":
+            fleet.instances[arguments["i"]].store.cut = arguments["partitioned"]
         case "faults":
             store = fleet.instances[arguments.pop("i")].store
             for field, value in arguments.items():
                 setattr(store, field, value)
-        case "gifts":
+        case "peer_replies":
             fleet.peer_replies_lost = arguments["lost"]
         case "kill":
             await _kill(fleet, **arguments)
@@ -107,15 +107,15 @@
 
 
 async def _kill(fleet: RestoredFleet, i: int, power: bool, down_s: float) -> None:
-    # A start waits for the log, so the log must be available.
+    # A starting process waits for the log, so the log must be available.
     while fleet.log.unavailable:
         await fleet.run(0.1)
     await fleet.kill(i, power, down_s)
 
 
-async def play(plan, seed: int, tells: bool = True) -> RestoredFleet:
+async def play(plan, seed: int, with_era: bool = True) -> RestoredFleet:
     """Run all steps of ``plan``, then check that nothing was missed."""
-    fleet = RestoredFleet(seed, tells)
+    fleet = RestoredFleet(seed, with_era)
     await fleet.begin()
     try:
         for step, arguments in plan:
@@ -127,7 +127,7 @@
     return fleet
 
 
-def restore_property(examples: int, tells: bool = True, derandomize: bool = True):
+def restore_property(examples: int, with_era: bool = True, derandomize: bool = True):
     """The property as a function that raises when it fails."""
 
     @settings(
@@ -142,7 +142,7 @@
     )
     @given(st.lists(steps, min_size=10, max_size=40), st.integers(0, 999))
     def holds(plan, seed):
-        run_virtual(play(plan, seed, tells))
+        run_virtual(play(plan, seed, with_era))
 
     return holds
 
@@ -157,7 +157,7 @@
 
     def test_the_checker_catches_entries_that_ignore_the_era(self):
         with self.assertRaises(AssertionError):
-            restore_property(NAIVE_EXAMPLES, tells=False)()
+            restore_property(NAIVE_EXAMPLES, with_era=False)()
 
     def test_the_checker_catches_entries_that_trust_the_backup(self):
         trust = mock.patch.object(RestoreHold, "begin", lambda *_: None)
