--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -24,8 +24,8 @@
 _T = TypeVar("_T")
 
 
-class _Gifts:
-    """Requests tokens from modelled entries."""
+class _PeerClient:
+    """Sends peer requests to modelled entries."""
 
     def __init__(self, me: "ModelEntry", fleet: Sequence["ModelEntry"]) -> None:
         self._me = me
@@ -40,19 +40,21 @@
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return 0
         await asyncio.sleep(PEER_S)
-        giving = on_instance(other.clock, other.reservations.transfer(account, tokens))
-        return await giving
+        transfer = on_instance(
+            other.clock, other.reservations.transfer(account, tokens)
+        )
+        return await transfer
 
     async def fetch_row(
         self, address: str, me: EntryId
     ) -> Mapping[AccountId, AccountClaim]:
         """The row of ``me`` as the entry at ``address`` knows it."""
         other = self._fleet[int(address)]
-        if self._me.partitioned or other.partitioned or other.keeper is None:
+        if self._me.partitioned or other.partitioned or other.share_sync is None:
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
-        return other.keeper.budgets.restore_hold.known_row(me)
+        return other.share_sync.budgets.restore_hold.known_row(me)
 
 
 class ModelEntry:
@@ -79,7 +81,7 @@
         self.clock = Clock()
         self.store = ModelStore(log)
         self.reservations: Reservations | None = None
-        self.keeper: ShareSync | None = None
+        self.share_sync: ShareSync | None = None
         self._totals = totals
         self._fleet = fleet
         self._link_mbps = link_mbps
@@ -89,26 +91,26 @@
         """Start a new process and wait until it serves."""
         loop = asyncio.get_running_loop()
         self.store.eras = eras = EraTracker()
-        keeper = ShareSync(
+        share_sync = ShareSync(
             HedgedStore(self.store),
             EntryId(f"e{self.number}"),
             str(self.number),
             str(self.number),
             Zone("z"),
-            _Gifts(self, self._fleet),  # type: ignore[arg-type]
+            _PeerClient(self, self._fleet),  # type: ignore[arg-type]
             loop.time() + self.clock.steady_ahead_s,
             self._link_mbps,
             eras,
         )
-        self.keeper = keeper
+        self.share_sync = share_sync
         await asyncio.sleep(START_S)
-        keeper.budgets.set_totals(self._totals())
-        self.keep(keeper.run())
-        while not keeper.started:
+        share_sync.budgets.set_totals(self._totals())
+        self.spawn(share_sync.run())
+        while not share_sync.started:
             await asyncio.sleep(0.01)
-        self.reservations = keeper.reservations
+        self.reservations = share_sync.reservations
 
-    def keep(self, coro: Coroutine[Any, Any, _T]) -> "asyncio.Task[_T]":
+    def spawn(self, coro: Coroutine[Any, Any, _T]) -> "asyncio.Task[_T]":
         """Run ``coro`` on this instance until it ends or the instance does."""
         task = on_instance(self.clock, coro)
         self._tasks.add(task)
@@ -119,5 +121,5 @@
         """End the process and reset the monotonic clock to a random reading."""
         for task in list(self._tasks):
             task.cancel()
-        self.reservations = self.keeper = None
+        self.reservations = self.share_sync = None
         self.clock = Clock(steady_ahead_s=rng.uniform(0, BOOT_STEADY_S))
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -232,38 +232,38 @@
     async def _try(self, entry: ModelEntry, request: _Request) -> float | None:
         """One try: 0 if it succeeded, else the delay before a retry, if any."""
         try:
-            return await entry.keep(self._serve(entry, request))
+            return await entry.spawn(self._serve(entry, request))
         except asyncio.CancelledError:
             if entry.reservations is None:
                 return None
             raise
 
     async def _serve(self, entry: ModelEntry, request: _Request) -> float | None:
-        keeper, reservations = entry.keeper, entry.reservations
-        if keeper is None or reservations is None:
+        share_sync, reservations = entry.share_sync, entry.reservations
+        if share_sync is None or reservations is None:
             return RETRY_ELSEWHERE_AFTER_S
         name, tokens = request.account, request.most_tokens
-        held = await reservations.reserve(name, tokens, request.work.urgent)
+        reservation = await reservations.reserve(name, tokens, request.work.urgent)
         now_s = asyncio.get_running_loop().time() + entry.clock.steady_ahead_s
-        if held is None:
-            refusal = insufficient_tokens(keeper, name, tokens, True, now_s)
+        if reservation is None:
+            refusal = insufficient_tokens(share_sync, name, tokens, True, now_s)
             if refusal.reason is Reason.BUDGET_EXHAUSTED:
                 return None
             return refusal.retry_after_s or RETRY_ELSEWHERE_AFTER_S
-        await self._run(entry, keeper, request, held)
+        await self._run(entry, share_sync, request, reservation)
         return 0.0
 
     async def _run(
         self,
         entry: ModelEntry,
-        keeper: ShareSync,
+        share_sync: ShareSync,
         request: _Request,
-        held: Reservation,
+        reservation: Reservation,
     ) -> None:
         """An engine's response; delivered tokens count even if it is aborted."""
         account = self.accounts[request.account]
         loop = asyncio.get_running_loop()
-        rest = held.tokens - request.input_tokens
+        rest = reservation.tokens - request.input_tokens
         account.spent += request.input_tokens
         account.unsettled += rest
         began_s = loop.time()
@@ -271,7 +271,9 @@
         try:
             await asyncio.sleep(request.work.takes_s)
             now_s = loop.time() + entry.clock.steady_ahead_s
-            keeper.budgets.commit(held, request.input_tokens + delivered, now_s)
+            share_sync.budgets.commit(
+                reservation, request.input_tokens + delivered, now_s
+            )
         except asyncio.CancelledError:
             part = min(1.0, (loop.time() - began_s) / request.work.takes_s)
             delivered = int(delivered * part)
