--- a/src/celerytrack/escrow.py
+++ b/src/celerytrack/escrow.py
@@ -108,7 +108,7 @@
             return None
         parts: list[tuple[GrantId, int]] = []
         left = tokens
-        # Grants whose lease ends soonest come first, so that tokens are used in time.
+        # Soonest-ending leases first, so that tokens are used before their lease ends.
         for grant in sorted(self.held(account), key=lambda g: g.usable_until_s):
             part = min(left, grant.available(now_s))
             if part > 0:
