--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -1,4 +1,4 @@
-"""One modelled instance and the entry process on it."""
+"""A modelled instance and the entry process on it."""
 
 import asyncio
 import random
@@ -16,17 +16,16 @@
 from celerytrack.prepaid import AccountClaim
 
 PEER_S = 0.001
-"""Way from entry to entry and back."""
+"""Round trip between two entries."""
 START_S = 0.15
-"""Time a process takes from its start to its first call."""
+"""Time from the start of a process to its first call."""
 BOOT_STEADY_S = 50_000.0
-"""A steady clock after a new start of its instance is elsewhere at random, within
-this."""
+"""Upper bound of the random monotonic clock reading after a restart of an instance."""
 _T = TypeVar("_T")
 
 
-class _Gifts:
-    """Asks modelled entries for tokens."""
+class _PeerClient:
+    """Sends peer requests to modelled entries."""
 
     def __init__(self, me: "ModelEntry", fleet: Sequence["ModelEntry"]) -> None:
         self._me = me
@@ -35,36 +34,38 @@
     async def request_transfer(
         self, address: str, account: AccountId, tokens: int
     ) -> int:
-        """What the entry at ``address``, its number, gave."""
+        """Tokens that the entry at ``address``, which is its number, transferred."""
         other = self._fleet[int(address)]
-        if self._me.apart or other.apart or other.reservations is None:
+        if self._me.partitioned or other.partitioned or other.reservations is None:
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return 0
         await asyncio.sleep(PEER_S)
-        giving = on_instance(other.clock, other.reservations.transfer(account, tokens))
-        return await giving
+        transfer = on_instance(
+            other.clock, other.reservations.transfer(account, tokens)
+        )
+        return await transfer
 
     async def fetch_row(
         self, address: str, me: EntryId
     ) -> Mapping[AccountId, AccountClaim]:
-        """What the entry at ``address`` knows of the row of ``me``."""
+        """The row of ``me`` as the entry at ``address`` knows it."""
         other = self._fleet[int(address)]
-        if self._me.apart or other.apart or other.keeper is None:
+        if self._me.partitioned or other.partitioned or other.share_sync is None:
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
-        return other.keeper.budgets.restore_hold.known_row(me)
+        return other.share_sync.budgets.restore_hold.known_row(me)
 
 
 class ModelEntry:
-    """One modelled instance and the process on it.
+    """A modelled instance and the entry process on it.
 
-    :param number: its place in the fleet.
-    :param totals: the total of each account.
-    :param fleet: all entries, this one included.
-    :param link_mbps: what its link carries; 0 if it is not told.
-    :ivar apart: no other entry reaches it, and it reaches none.
-    :ivar reservations: what callers ask; ``None`` while it does not serve.
+    :param number: its index in the fleet.
+    :param totals: returns the total of each account.
+    :param fleet: all entries, including this one.
+    :param link_mbps: capacity of its link; 0 if unknown.
+    :ivar partitioned: whether it is partitioned from all other entries.
+    :ivar reservations: serves callers' requests; ``None`` while it does not serve.
     """
 
     def __init__(
@@ -76,40 +77,40 @@
         link_mbps: float = 0.0,
     ) -> None:
         self.number = number
-        self.apart = False
+        self.partitioned = False
         self.clock = Clock()
         self.store = ModelStore(log)
         self.reservations: Reservations | None = None
-        self.keeper: ShareSync | None = None
+        self.share_sync: ShareSync | None = None
         self._totals = totals
         self._fleet = fleet
         self._link_mbps = link_mbps
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Start the process anew and wait until it serves."""
+        """Start a new process and wait until it serves."""
         loop = asyncio.get_running_loop()
         self.store.eras = eras = EraTracker()
-        keeper = ShareSync(
+        share_sync = ShareSync(
             HedgedStore(self.store),
             EntryId(f"e{self.number}"),
             str(self.number),
             str(self.number),
             Zone("z"),
-            _Gifts(self, self._fleet),  # type: ignore[arg-type]
+            _PeerClient(self, self._fleet),  # type: ignore[arg-type]
             loop.time() + self.clock.steady_ahead_s,
             self._link_mbps,
             eras,
         )
-        self.keeper = keeper
+        self.share_sync = share_sync
         await asyncio.sleep(START_S)
-        keeper.budgets.set_totals(self._totals())
-        self.keep(keeper.run())
-        while not keeper.started:
+        share_sync.budgets.set_totals(self._totals())
+        self.spawn(share_sync.run())
+        while not share_sync.started:
             await asyncio.sleep(0.01)
-        self.reservations = keeper.reservations
+        self.reservations = share_sync.reservations
 
-    def keep(self, coro: Coroutine[Any, Any, _T]) -> "asyncio.Task[_T]":
+    def spawn(self, coro: Coroutine[Any, Any, _T]) -> "asyncio.Task[_T]":
         """Run ``coro`` on this instance until it ends or the instance does."""
         task = on_instance(self.clock, coro)
         self._tasks.add(task)
@@ -117,8 +118,8 @@
         return task
 
     def lose_power(self, rng: random.Random) -> None:
-        """End the process; the steady clock begins elsewhere."""
+        """End the process and reset the monotonic clock to a random reading."""
         for task in list(self._tasks):
             task.cancel()
-        self.reservations = self.keeper = None
+        self.reservations = self.share_sync = None
         self.clock = Clock(steady_ahead_s=rng.uniform(0, BOOT_STEADY_S))
