--- a/src/celerytrack/durations.py
+++ b/src/celerytrack/durations.py
@@ -3,15 +3,15 @@
 import collections
 import math
 
-KEPT = 50
+MAX_SAMPLES = 50
 """Most recent requests that are kept per kind."""
-FEWEST = 3
+MIN_SAMPLES = 3
 """Requests of a kind that are needed for an estimate."""
-LIKELY_SHARE = 0.95
+ESTIMATE_QUANTILE = 0.95
 """Quantile that serves as the estimate."""
 
 
-class Durations:
+class RecentDurations:
     """Durations of the last requests of each kind."""
 
     def __init__(self) -> None:
@@ -19,15 +19,15 @@
 
     def add(self, kind: str, took_s: float) -> None:
         """Record that a request of ``kind`` was answered after ``took_s``."""
-        took = self._took_s.setdefault(kind, collections.deque(maxlen=KEPT))
+        took = self._took_s.setdefault(kind, collections.deque(maxlen=MAX_SAMPLES))
         took.append(took_s)
 
-    def likely_s(self, kind: str) -> float:
+    def p95_s(self, kind: str) -> float:
         """Duration that nearly all recent requests of ``kind`` did not exceed.
 
         It is infinite if there are too few requests.
         """
         took = sorted(self._took_s.get(kind, ()))
-        if len(took) < FEWEST:
+        if len(took) < MIN_SAMPLES:
             return math.inf
-        return took[math.ceil(LIKELY_SHARE * len(took)) - 1]
+        return took[math.ceil(ESTIMATE_QUANTILE * len(took)) - 1]
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -16,7 +16,7 @@
 from celerytrack.findings import Crash, Findings, Probe
 from celerytrack.fingerprint import Fingerprint, RequestHead, fingerprint_of, prefix_of
 from celerytrack.ids import AccountId, EndpointId, EntryId, ReplicaId
-from celerytrack.process_end import ENDING_KNOWN_S, has_ended
+from celerytrack.process_end import CRASH_DETECTION_S, has_ended
 from celerytrack.settings import WorkClass
 from celerytrack.suspect_logs import log_quarantined
 from celerytrack.suspects import SuspectState, SuspectTracker
@@ -148,7 +148,7 @@
     ) -> None:
         at_s = int(time.time()) // ONE_ENDING_S
         try:
-            async with asyncio.timeout(ENDING_KNOWN_S):
+            async with asyncio.timeout(CRASH_DETECTION_S):
                 ended = await has_ended(address)
         except TimeoutError:
             ended = False
--- a/src/celerytrack/gateway/leaving.py
+++ b/src/celerytrack/gateway/leaving.py
@@ -30,20 +30,20 @@
     """Send the callers elsewhere, and see the requests in progress to their end."""
     log_event(_log, Event.PROCESS_STOPPING, in_flight=gateway.in_flight)
     for exchange in gateway.exchanges:
-        exchange.end_by(stop.answers_end_s)
+        exchange.end_by(stop.drain_deadline_s)
     gateway.keeper.leave()
     for _ in range(TOLD_TIMES):
         gateway.tell_leaving()
         await asyncio.sleep(TELL_AGAIN_S)
-    await asyncio.sleep(stop.serves_until_s - time.monotonic())
+    await asyncio.sleep(stop.accepts_until_s - time.monotonic())
     log_stage(gateway, stop, listeners, "callers gone")
-    await _until(lambda: not gateway.in_flight, stop.closes_s)
+    await _until(lambda: not gateway.in_flight, stop.close_deadline_s)
     gateway.closing = True
     log_stage(gateway, stop, listeners, "requests over")
-    last_row_s = min(stop.closes_s, time.monotonic() + LAST_ROW_MOST_S)
+    last_row_s = min(stop.close_deadline_s, time.monotonic() + LAST_ROW_MOST_S)
     await gateway.keeper.publish_last(last_row_s)
     log_stage(gateway, stop, listeners, "last row")
-    await _until(lambda: not listeners.unsent_bytes(), stop.closes_s)
+    await _until(lambda: not listeners.unsent_bytes(), stop.close_deadline_s)
     log_stage(gateway, stop, listeners, "answers sent")
 
 
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -113,13 +113,13 @@
     """
     lasting = Lasting(
         most_s=exchange.ends_s - now_s,
-        likely_s=gateway.durations.likely_s(exchange.route.name),
+        likely_s=gateway.durations.p95_s(exchange.route.name),
         stream=exchange.route.stream,
     )
-    if gateway.closing or not stop.takes(lasting, now_s):
+    if gateway.closing or not stop.can_admit(lasting, now_s):
         detail = f"this entry stops; {lasting}"
         raise RefusedError(did_not_run(Reason.DRAINING, 0.0, detail))
-    exchange.end_by(stop.answers_end_s)
+    exchange.end_by(stop.drain_deadline_s)
     taken_leaving(gateway, exchange, stop, now_s)
 
 
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -184,7 +184,7 @@
         stop = gateway.stop
         assert stop is not None
         await leave(gateway, stop, self._listeners)
-        await self.abort(stop.closing_s)
+        await self.abort(stop.close_timeout_s)
         log_stage(gateway, stop, self._listeners, "closed")
 
     async def _end_now(self) -> None:
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -8,7 +8,7 @@
 
 from cachetools import LRUCache
 
-from celerytrack.durations import Durations
+from celerytrack.durations import RecentDurations
 from celerytrack.endpoints import EndpointPool
 from celerytrack.eras import EraChange, EraWatch
 from celerytrack.events import Event, log_event
@@ -98,7 +98,7 @@
         self.exchanges: set[Exchange] = set()
         self.stop: PlannedStop | None = None
         self.closing = False
-        self.durations = Durations()
+        self.durations = RecentDurations()
         self._retries: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
         self.ended_endpoints = EndedEndpoints(
--- a/src/celerytrack/gateway/suspect_gate.py
+++ b/src/celerytrack/gateway/suspect_gate.py
@@ -10,7 +10,7 @@
 from celerytrack.gateway.exchange import AttemptFailure, Exchange
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import EndpointId
-from celerytrack.process_end import ENDING_KNOWN_S
+from celerytrack.process_end import CRASH_DETECTION_S
 from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run
 
@@ -117,7 +117,7 @@
     """A trial broke off: another may begin once it is known whether the endpoint ended,
     which ends this one by itself."""
     loop = asyncio.get_running_loop()
-    loop.call_later(ENDING_KNOWN_S, release, gateway, exchange)
+    loop.call_later(CRASH_DETECTION_S, release, gateway, exchange)
 
 
 def ended_well(gateway: Gateway, exchange: Exchange) -> None:
--- a/src/celerytrack/planned_stop.py
+++ b/src/celerytrack/planned_stop.py
@@ -7,20 +7,20 @@
 
 import attrs
 
-SETTLE_SHARE = 0.15
+SHUTDOWN_SHARE = 0.15
 """Share of the grace period that is reserved for its end: to flush the answers, write
 the last row and exit."""
-SETTLE_MOST_S = 0.8
+MAX_SHUTDOWN_S = 0.8
 CLOSING_SHARE = 0.6
 """Share of that end in which listeners and connections close and the process exits."""
-SERVES_SHARE = 0.45
+ACCEPT_SHARE = 0.45
 """Share of the grace period in which callers may still arrive."""
-SERVES_MOST_S = 3.5
+MAX_ACCEPT_S = 3.5
 """Callers cache address answers for one second, some for three."""
-STREAM_TAKEN_S = 3.0
+STREAM_ADMISSION_S = 3.0
 """How long after the signal a stream is admitted that will probably, but not certainly,
 end in time."""
-HEARD_LATE_S = 0.2
+MAX_SIGNAL_DELAY_S = 0.2
 """Longest delay of a signal: an instance that has used up its CPU quota is suspended
 for a tenth of a second."""
 
@@ -54,34 +54,37 @@
     grace_s: float
 
     @property
-    def serves_until_s(self) -> float:
+    def accepts_until_s(self) -> float:
         """Until when the process stays up even if no request is in progress."""
-        return self.began_s + min(SERVES_MOST_S, SERVES_SHARE * self.grace_s)
+        return self.began_s + min(MAX_ACCEPT_S, ACCEPT_SHARE * self.grace_s)
 
     @property
-    def answers_end_s(self) -> float:
+    def drain_deadline_s(self) -> float:
         """Deadline of the answers to all requests in progress."""
-        return self.began_s + self.grace_s - self._settle_s
+        return self.began_s + self.grace_s - self._shutdown_s
 
     @property
-    def closes_s(self) -> float:
+    def close_deadline_s(self) -> float:
         """Deadline after which listeners and connections are closed."""
-        return self.answers_end_s + (1 - CLOSING_SHARE) * self._settle_s
+        return self.drain_deadline_s + (1 - CLOSING_SHARE) * self._shutdown_s
 
     @property
-    def closing_s(self) -> float:
+    def close_timeout_s(self) -> float:
         """Longest time to close them; the exit may take as long again."""
-        return CLOSING_SHARE * self._settle_s / 2
+        return CLOSING_SHARE * self._shutdown_s / 2
 
     @property
-    def _settle_s(self) -> float:
-        return min(SETTLE_MOST_S, SETTLE_SHARE * self.grace_s)
+    def _shutdown_s(self) -> float:
+        return min(MAX_SHUTDOWN_S, SHUTDOWN_SHARE * self.grace_s)
 
-    def takes(self, lasting: Lasting, now_s: float) -> bool:
+    def can_admit(self, lasting: Lasting, now_s: float) -> bool:
         """Whether a request that arrives now can be served to its end."""
-        left_s = self.answers_end_s - now_s
+        left_s = self.drain_deadline_s - now_s
         if lasting.most_s <= left_s:
             return True
-        if lasting.stream and now_s - self.began_s > STREAM_TAKEN_S - HEARD_LATE_S:
+        if (
+            lasting.stream
+            and now_s - self.began_s > STREAM_ADMISSION_S - MAX_SIGNAL_DELAY_S
+        ):
             return False
         return lasting.likely_s <= left_s
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 from nose2.tools import params
 
-from celerytrack.durations import FEWEST, KEPT, Durations
+from celerytrack.durations import MAX_SAMPLES, MIN_SAMPLES, RecentDurations
 from celerytrack.ids import AccountId
 from celerytrack.planned_stop import Lasting, PlannedStop
 from celerytrack.platform.topics import CONFIG_KEY, CONFIG_TOPIC, ENDPOINTS_TOPIC
@@ -168,31 +168,31 @@
         """Guards against requests that a stop takes and cannot end."""
         stop = PlannedStop(began_s=100.0, grace_s=8.0)
         lasting = Lasting(most_s, likely_s, stream)
-        self.assertIs(stop.takes(lasting, 100.0 + after_s), taken)
+        self.assertIs(stop.can_admit(lasting, 100.0 + after_s), taken)
 
     @params((1.0,), (2.0,), (8.0,), (30.0,), (300.0,))
     def test_each_part_fits_the_grace_time(self, grace_s):
         """Guards against a stop whose parts add up to more than its grace time."""
         stop = PlannedStop(began_s=100.0, grace_s=grace_s)
         ends_s = 100.0 + grace_s
-        self.assertLess(stop.serves_until_s, stop.answers_end_s)
-        self.assertGreaterEqual(stop.answers_end_s, ends_s - grace_s / 6)
-        self.assertLess(stop.answers_end_s, stop.closes_s)
-        self.assertLess(stop.closes_s + stop.closing_s, ends_s)
+        self.assertLess(stop.accepts_until_s, stop.drain_deadline_s)
+        self.assertGreaterEqual(stop.drain_deadline_s, ends_s - grace_s / 6)
+        self.assertLess(stop.drain_deadline_s, stop.close_deadline_s)
+        self.assertLess(stop.close_deadline_s + stop.close_timeout_s, ends_s)
 
     @params((0, math.inf), (2, math.inf), (3, 2.0), (20, 18.0), (50, 47.0), (60, 57.0))
     def test_what_nearly_all_ended_within_is_likely(self, ended, likely_s):
-        durations = Durations()
+        durations = RecentDurations()
         for i in range(ended):
             durations.add("route", float(i))
-        self.assertEqual(durations.likely_s("route"), likely_s)
+        self.assertEqual(durations.p95_s("route"), likely_s)
 
     def test_what_took_long_is_forgotten(self):
-        durations = Durations()
+        durations = RecentDurations()
         durations.add("route", 99.0)
-        for _ in range(KEPT):
+        for _ in range(MAX_SAMPLES):
             durations.add("route", 1.0)
-        self.assertEqual(durations.likely_s("route"), 1.0)
+        self.assertEqual(durations.p95_s("route"), 1.0)
 
 
 class PlannedStopTest(unittest.TestCase):
@@ -264,7 +264,7 @@
 
     async def _until_the_end(self) -> None:
         async with Site(_short_answer) as site:
-            for i in range(FEWEST):
+            for i in range(MIN_SAMPLES):
                 await site.ask("/once/x", request_id=f"before-{i}")
             site.gateway.signal(signal.SIGTERM)
             asked: dict[str, asyncio.Task[Outcome]] = {}
--- a/tests/test_planned_stop_review.py
+++ b/tests/test_planned_stop_review.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from nose2.tools import params
 
-from celerytrack.durations import FEWEST
+from celerytrack.durations import MIN_SAMPLES
 from celerytrack.platform.topics import ENTRIES_TOPIC
 from tests.gateway_fleet import HOST, KEY, Script
 from tests.test_planned_stop import (
@@ -40,7 +40,7 @@
     asked = itertools.count(1)
 
     async def stream(request: web.BaseRequest) -> web.StreamResponse:
-        if next(asked) > FEWEST:
+        if next(asked) > MIN_SAMPLES:
             return await _long_stream(request)
         response = web.StreamResponse(headers=_echo(request))
         response.enable_chunked_encoding()
@@ -286,7 +286,7 @@
 
     async def _heard_late(self) -> None:
         async with Site(_first_short()) as site:
-            for _ in range(FEWEST):
+            for _ in range(MIN_SAMPLES):
                 self.assertTrue((await site.ask("/stream/x")).whole)
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGSTOP)
