--- a/src/celerytrack/endpoint.py
+++ b/src/celerytrack/endpoint.py
@@ -25,9 +25,9 @@
 
     :ivar slots: requests it runs at once.
     :ivar cold_s: remaining warm-up time, in which it is slow.
-    :ivar born_ms: start time of its process, in Unix milliseconds; 0 if unknown. An
-        endpoint may restart under its id, with an empty cache.
-    :ivar sequence: grows with each record of one process.
+    :ivar born_ms: start time of this incarnation, in Unix milliseconds; 0 if unknown.
+        An endpoint may restart under its id, with an empty cache.
+    :ivar sequence: grows with each record of one incarnation.
     :ivar version: software version; empty if unknown.
     """
 
@@ -55,8 +55,8 @@
     def is_older_than(self, other: "Registration") -> bool:
         """Whether ``other``, a record of the same id, was written after this one.
 
-        Records may arrive out of order. A late record of an earlier process would
-        direct requests to a process that is gone. A late record of the same process
+        Records may arrive out of order. A late record of an earlier incarnation would
+        direct requests to a process that is gone. A late record of the same incarnation
         would make a draining endpoint look ready.
         """
         return (self.born_ms, self.sequence) < (other.born_ms, other.sequence)
--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -84,7 +84,7 @@
 
     NEW = "new"
     RESTARTED = "started_again"
-    """Another process has the id now, with an empty cache."""
+    """Another incarnation has the id now, with an empty cache."""
     CHANGED = "changed"
     """The endpoint began or ended draining."""
     SAME = "same"
@@ -117,7 +117,7 @@
             self._add(registration, now_s)
             return RegistrationChange.NEW
         if 0 < known.registration.born_ms < registration.born_ms:
-            # The statistics and cached parts belong to a process that is gone. Parts
+            # The statistics and cached parts belong to an earlier incarnation. Parts
             # counted as cached would need an unpredicted prefill. Earlier requests
             # refer to the old object and finish there.
             self._add(registration, now_s)
@@ -154,7 +154,7 @@
         self.mark_deregistered(endpoint_id, now_s - DEREGISTERED_GRACE_S)
 
     def mark_crashed(self, endpoint_id: EndpointId, now_s: float) -> None:
-        """Eject an endpoint whose process crashed, as observed by some entry."""
+        """Eject an endpoint that crashed, as observed by some entry."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
             ejected_until_s = max(known.ejected_until_s, now_s + CRASH_EJECTION_S)
@@ -168,7 +168,7 @@
         return not is_leaving and not self.is_superseded(endpoint)
 
     def is_superseded(self, endpoint: Endpoint) -> bool:
-        """Whether a newer process has the id of ``endpoint``."""
+        """Whether a newer incarnation has the id of ``endpoint``."""
         known = self._endpoints.get(endpoint.endpoint_id)
         return known is not None and known is not endpoint
 
--- a/src/celerytrack/findings.py
+++ b/src/celerytrack/findings.py
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class Crash:
-    """One process of an endpoint crashed while it ran requests.
+    """One incarnation of an endpoint crashed while it ran requests.
 
-    :ivar born_ms: start time of the process, which tells restarts under one id apart;
-        0 if unknown.
+    :ivar born_ms: start time of the incarnation, which tells restarts under one id
+        apart; 0 if unknown.
     :ivar build: service and software version.
     """
 
--- a/src/celerytrack/member.py
+++ b/src/celerytrack/member.py
@@ -11,7 +11,7 @@
 
 GONE_AFTER_SILENCE_S = 60.0
 """An entry whose row is this much older than the newest row is gone. The limit exceeds
-what a restored copy of the log has lost and what clocks differ by."""
+what a backup of the log has lost and what clocks differ by."""
 
 
 class MemberState(enum.Enum):
@@ -28,13 +28,13 @@
     :ivar epoch: grows with each restart of the entry.
     :ivar front_address: where callers connect.
     :ivar peer_address: where other entries connect.
-    :ivar made_s: when the row was made, on the instance's steady clock.
-    :ivar clock_offset_s: time of day less steady clock at that moment; it changes when
-        the instance reboots or its clock is set.
-    :ivar started_s: when this process of the entry started, on the steady clock.
-    :ivar left_at_s: when the last row of the entry's previous process was made, by the
-        time of day of that process; ``None`` if there was none.
-    :ivar clock_lead_s: how far its time of day was ahead of the other entries', by
+    :ivar made_s: when the row was made, on the instance's monotonic clock.
+    :ivar clock_offset_s: wall clock less monotonic clock at that moment; it changes
+        when the instance reboots or its clock is set.
+    :ivar started_s: when this incarnation of the entry started, on the monotonic clock.
+    :ivar left_at_s: when the last row of the entry's previous incarnation was made, by
+        the wall clock of that incarnation; ``None`` if there was none.
+    :ivar clock_lead_s: how far its wall clock was ahead of the other entries', by
         their last rows; ``None`` if there were too few to compare with.
     :ivar link_mbps: capacity of its network link; 0 if unknown.
     :ivar era: newest era of the log that it knew; ``None`` if it knew none.
@@ -58,20 +58,21 @@
 
     @property
     def made_at_s(self) -> float:
-        """When the row was made, by the instance's time of day."""
+        """When the row was made, by the instance's wall clock."""
         return self.made_s + self.clock_offset_s
 
     @property
     def started_at_s(self) -> float:
-        """When this process started, by the instance's time of day."""
+        """When this incarnation started, by the instance's wall clock."""
         return self.started_s + self.clock_offset_s
 
 
 def is_older_row(row: Member, known: Member) -> bool:
     """Whether ``known`` was written after ``row``, a row of the same entry.
 
-    A log restored from an older copy holds older rows than were read before. They could
-    show a leaving entry as serving, or have the address of an earlier process.
+    A log restored from an older backup holds older rows than were read before. They
+    could show a leaving entry as serving, or have the address of an earlier
+    incarnation.
     """
     if row.era is not None and known.era is not None and row.era != known.era:
         return row.era < known.era
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -96,8 +96,8 @@
 class _KnownEntry:
     """The newest row of an entry, when it was read, and the delays of its last rows.
 
-    :ivar delays_s: this entry's steady clock at the read less the other entry's time of
-        day when the row was made.
+    :ivar delays_s: this entry's monotonic clock at the read less the other entry's wall
+        clock when the row was made.
     """
 
     member: Member
@@ -146,7 +146,7 @@
         return {entry: known.member for entry, known in self._entries.items()}
 
     def clock_lead_s(self, clock_offset_s: float) -> float | None:
-        """How far this entry's time of day is ahead of the median of the others.
+        """How far this entry's wall clock is ahead of the median of the others.
 
         The delay of a row makes the lead look larger, never smaller. A clock that is
         ahead, which would make rows look newer than they are, is therefore always
@@ -155,7 +155,7 @@
         have waited for the end of a network partition. Mistaken for a clock that was
         set, that delay would lose all claimed tokens at a power loss.
 
-        :param clock_offset_s: this entry's time of day less its steady clock, now.
+        :param clock_offset_s: this entry's wall clock less its monotonic clock, now.
         :returns: ``None`` if there are too few other entries.
         """
         others = [known for entry, known in self._entries.items() if entry != self.me]
@@ -167,7 +167,7 @@
         """Like :meth:`clock_lead_s`, but only by entries with :data:`CLOCK_SAMPLES`
         rows.
 
-        :param clock_offset_s: this entry's time of day less its steady clock, now.
+        :param clock_offset_s: this entry's wall clock less its monotonic clock, now.
         :returns: ``None`` if these are not the majority of the other entries, or fewer
             than :data:`MIN_CLOCK_PEERS`.
         """
@@ -182,9 +182,9 @@
         return statistics.median(prompt) + clock_offset_s
 
     def mark_leaving(self, entry: EntryId, started_s: float) -> None:
-        """Record the notice of ``entry`` that its process of ``started_s`` is leaving.
+        """Record that the incarnation of ``entry`` of ``started_s`` is leaving.
 
-        Rows of that process in state ``SERVING`` were made before the notice.
+        Rows of it in state ``SERVING`` were made before its notice.
         """
         self._leaving_starts_s[entry] = started_s
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -123,7 +123,7 @@
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 429)
             self.assertEqual(len(run.ended), ended)
 
-    async def test_evidence_survives_a_log_restored_from_an_older_copy(
+    async def test_evidence_survives_a_log_restored_from_an_older_backup(
         self,
     ) -> None:
         """The restored log had lost the records, and a restarted entry sent a request
