--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which requests are the same, and which only look alike."""
+"""Equality of requests by fingerprint."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 )
 from celerytrack.ids import AccountId
 
-LINE = RequestHead("POST", "h.example", "/plain/a?x=1", AccountId("t"), 4)
+HEAD = RequestHead("POST", "h.example", "/plain/a?x=1", AccountId("t"), 4)
 
 
 class FingerprintTest(unittest.TestCase):
@@ -25,26 +25,26 @@
         ("another path", {"path": "/plain/b?x=1"}),
         ("another query", {"path": "/plain/a?x=2"}),
         ("another caller", {"account": AccountId("u")}),
-        ("nobody asked for a key", {"account": None}),
+        ("no account", {"account": None}),
         ("another length of its body", {"body_bytes": 5}),
-        ("parts that read the same when joined", {"host": "h.example/", "path": ""}),
+        ("fields that are equal when joined", {"host": "h.example/", "path": ""}),
     )
-    def test_other_requests_are_at_other_places(
+    def test_different_requests_have_different_prefixes(
         self, _: str, fields: dict[str, object]
     ) -> None:
-        other = attrs.evolve(LINE, **fields)  # type: ignore[arg-type]
-        self.assertNotEqual(prefix_of(LINE), prefix_of(other))
+        other = attrs.evolve(HEAD, **fields)  # type: ignore[arg-type]
+        self.assertNotEqual(prefix_of(HEAD), prefix_of(other))
 
-    def test_a_path_that_is_no_text_has_a_place(self) -> None:
-        prefix = prefix_of(attrs.evolve(LINE, path="/plain/\udcff"))
+    def test_a_path_that_is_not_valid_text_has_a_prefix(self) -> None:
+        prefix = prefix_of(attrs.evolve(HEAD, path="/plain/\udcff"))
         self.assertEqual(len(prefix), PREFIX_BYTES)
 
     @params((b"body", True), (b"ydob", False))
-    def test_the_body_tells_requests_at_one_place_apart(
+    def test_requests_with_one_prefix_differ_by_their_body(
         self, body: bytes, same: bool
     ) -> None:
-        prefix = prefix_of(LINE)
-        one = fingerprint_of(prefix, b"body")
-        self.assertEqual(one == fingerprint_of(prefix, body), same)
-        self.assertEqual(len(one), PREFIX_BYTES + BODY_DIGEST_BYTES)
-        self.assertEqual(prefix_in(one), prefix)
+        prefix = prefix_of(HEAD)
+        fingerprint = fingerprint_of(prefix, b"body")
+        self.assertEqual(fingerprint == fingerprint_of(prefix, body), same)
+        self.assertEqual(len(fingerprint), PREFIX_BYTES + BODY_DIGEST_BYTES)
+        self.assertEqual(prefix_in(fingerprint), prefix)
