--- a/tests/crashing_endpoints.py
+++ b/tests/crashing_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that a request with a marker in its body ends, and callers that repeat."""
+"""Endpoints that crash on requests with a marker in the body, and repeating callers."""
 
 import asyncio
 import itertools
@@ -14,10 +14,10 @@
 from tests.gateway_fleet import SEAL, Endpoint, Fleet
 
 MARKER = b"crash"
-BACK_AFTER_S = 2.0
-"""How long an ended endpoint is away."""
-LAPSES_AFTER_S = 1.5
-"""When its registration is removed: three heartbeats of half a second."""
+DOWNTIME_S = 2.0
+"""Downtime of a crashed endpoint."""
+REGISTRATION_TTL_S = 1.5
+"""Time until its registration is removed: three heartbeats of half a second."""
 WORK_S = 0.05
 
 
@@ -31,12 +31,12 @@
 
 
 class CrashingEndpoint:
-    """An endpoint that ends as it runs a marked request, and is back under a new id.
+    """An endpoint that crashes on a marked request and comes back under a new id.
 
-    :param work_s: how long a request runs; a marked one ends the endpoint then.
-    :ivar ended: when it ended, each time.
-    :ivar version: of its software, from its next start on.
-    :ivar harmed: whether a marked request ends it.
+    :param work_s: how long a request runs; a marked one crashes the endpoint then.
+    :ivar crashes_s: times of its crashes.
+    :ivar version: software version from its next start on.
+    :ivar vulnerable: whether a marked request crashes it.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
         arrivals: list[Arrival],
         work_s: float = WORK_S,
     ) -> None:
-        self.ended: list[float] = []
+        self.crashes_s: list[float] = []
         self._fleet = fleet
         self._number = number
         self._arrivals = arrivals
         self.version = "v1"
-        self.harmed = True
+        self.vulnerable = True
         self._work_s = work_s
         self._starts = itertools.count(1)
         self._now: Endpoint | None = None
@@ -70,7 +70,7 @@
         self._fleet.log.put(ENDPOINTS_TOPIC, name, record)
 
     async def stop(self) -> None:
-        """Close it for good."""
+        """Stop it for good."""
         for task in self._tasks:
             task.cancel()
         if self._runner is not None:
@@ -82,8 +82,8 @@
         name = self._now.name
         self._arrivals.append(Arrival(time.monotonic(), name, body))
         await asyncio.sleep(self._work_s)
-        if MARKER in body and self.harmed:
-            self.end(name)
+        if MARKER in body and self.vulnerable:
+            self.crash(name)
             await asyncio.sleep(60)
         echo = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
         if request.path.startswith(("/stream/", "/resume/")):
@@ -92,30 +92,30 @@
 
     @property
     def listens(self) -> bool:
-        """Whether it has not ended, or is back."""
+        """Whether its process is up."""
         return self._runner is not None
 
     def registration(self, **fields: object) -> bytes:
-        """Its record, with other ``fields``."""
+        """Its registration record, with some ``fields`` changed."""
         assert self._now is not None
         return self._now.registration(version=self.version, **fields)
 
     async def replace(self, version: str) -> None:
-        """Have another build of it in its place, under a new id."""
+        """Replace it by another build, under a new id."""
         assert self._now is not None and self._runner is not None
         self._fleet.log.put(ENDPOINTS_TOPIC, self._now.name, b"")
         await self._runner.cleanup()
         self.version = version
         await self.start()
 
-    def end(self, name: str) -> None:
-        """End its process, as start ``name``, and have it back later."""
+    def crash(self, name: str) -> None:
+        """Crash incarnation ``name``; a new one starts later."""
         runner = self._runner
         if runner is None:
-            # A second marked request found it ended.
+            # Another marked request has crashed it.
             return
         self._runner = None
-        self.ended.append(time.monotonic())
+        self.crashes_s.append(time.monotonic())
         for site in runner.sites:
             site._server.close()  # type: ignore[attr-defined]
         assert runner.server is not None
@@ -127,9 +127,9 @@
 
     async def _come_back(self, runner: web.ServerRunner, name: str) -> None:
         cleanup = asyncio.create_task(runner.cleanup())
-        await asyncio.sleep(LAPSES_AFTER_S)
+        await asyncio.sleep(REGISTRATION_TTL_S)
         self._fleet.log.put(ENDPOINTS_TOPIC, name, b"")
-        await asyncio.sleep(BACK_AFTER_S - LAPSES_AFTER_S)
+        await asyncio.sleep(DOWNTIME_S - REGISTRATION_TTL_S)
         await cleanup
         await self.start()
 
@@ -146,28 +146,28 @@
 
 @attrs.define
 class Answers:
-    """What callers got, by status."""
+    """Answers to callers, by status."""
 
     by_status: dict[int, int] = attrs.field(factory=dict)
 
     @property
     def asked(self) -> int:
-        """How many were answered, well or not."""
+        """Number of answers of any status."""
         return sum(self.by_status.values())
 
     def add(self, status: int) -> None:
-        """Count one answer; 0 for none."""
+        """Count an answer; status 0 stands for a failed connection."""
         self.by_status[status] = self.by_status.get(status, 0) + 1
 
 
 class CrashRun:
-    """Callers of harmless requests, and one that repeats a crashing request.
+    """Callers of harmless requests, and a caller that repeats a crashing request.
 
-    :param endpoints: how many of them.
+    :param endpoints: number of endpoints.
     :ivar started_s: when the first request was sent.
-    :ivar arrivals: the requests that reached endpoints.
+    :ivar arrivals: requests that reached endpoints.
     :ivar marked: answers to the crashing request.
-    :ivar harmless: answers to the others.
+    :ivar harmless: answers to the other requests.
     """
 
     def __init__(
@@ -187,10 +187,10 @@
     async def __aenter__(self) -> "CrashRun":
         for endpoint in self.endpoints:
             await endpoint.start()
-        known = self.fleet.gateways
+        gateways = self.fleet.gateways
         count = len(self.endpoints)
         await self.fleet.until(
-            lambda: all(len(g.endpoints.registered_ids()) == count for g in known)
+            lambda: all(len(g.endpoints.registered_ids()) == count for g in gateways)
         )
         self.started_s = time.monotonic()
         return self
@@ -200,10 +200,10 @@
             await endpoint.stop()
 
     @property
-    def ended(self) -> list[float]:
-        """When endpoints ended, in order, after the start."""
-        ended = (at_s for endpoint in self.endpoints for at_s in endpoint.ended)
-        return sorted(at_s - self.started_s for at_s in ended)
+    def crashes_s(self) -> list[float]:
+        """Times of all crashes since the start, in order."""
+        crashes_s = (at_s for endpoint in self.endpoints for at_s in endpoint.crashes_s)
+        return sorted(at_s - self.started_s for at_s in crashes_s)
 
     def marked_after(self, at_s: float) -> list[Arrival]:
         """Marked requests that reached endpoints later than ``at_s``."""
@@ -220,8 +220,10 @@
         path: str = "/plain/x",
         gateway: int | None = None,
     ) -> int:
-        """Send a request, to an entry drawn at random if none is given; its status, or
-        0."""
+        """Send a request, to a random entry if none is given.
+
+        :returns: the status, or 0 if the connection failed.
+        """
         if gateway is None:
             gateway = self._rng.randrange(len(self.fleet.gateways))
         number = next(self._ids)
@@ -237,7 +239,7 @@
     async def repeat(
         self, rate_per_s: float, lasts_s: float, send: Callable[[], Awaitable[object]]
     ) -> None:
-        """Send at a rate, without waiting for the answers, then wait for them."""
+        """Send at a mean rate without waiting, then wait for all answers."""
         ends_s = time.monotonic() + lasts_s
         tasks = []
         while time.monotonic() < ends_s:
@@ -252,7 +254,7 @@
         harmless_per_s: float = 25.0,
         path: str = "/plain/x",
     ) -> None:
-        """Play both kinds of callers beside each other."""
+        """Run both kinds of callers concurrently."""
         await asyncio.gather(
             self.repeat(
                 marked_per_s, lasts_s, lambda: self.ask(self.marked, MARKER, path)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -55,8 +55,8 @@
 
 class CrashingRequestTest(unittest.IsolatedAsyncioTestCase):
     def _assert_bounded(self, run: CrashRun) -> None:
-        self.assertGreaterEqual(len(run.ended), 3, "the request ran too rarely")
-        late = run.marked_after(run.ended[2] + KNOWN_WITHIN_S)
+        self.assertGreaterEqual(len(run.crashes_s), 3, "the request ran too rarely")
+        late = run.marked_after(run.crashes_s[2] + KNOWN_WITHIN_S)
         self.assertLessEqual(len(late), MOST_AFTER, run.marked.by_status)
 
     async def test_a_crashing_request_reaches_few_endpoints(self) -> None:
@@ -87,7 +87,7 @@
                 fleet.log.refused.add(SUSPECTS_TOPIC)
             await run.play(6.0, harmless_per_s=5.0)
             self._assert_bounded(run)
-            self.assertLessEqual(len(run.ended), 3 + len(fleet.gateways))
+            self.assertLessEqual(len(run.crashes_s), 3 + len(fleet.gateways))
 
     @params("/once/x", "/stream/x", "/resume/x")
     def test_every_kind_of_request_is_quarantined(self, path: str) -> None:
@@ -119,9 +119,9 @@
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 8, seed=6) as run:
             await _quarantine_everywhere(fleet, run)
             await fleet.add_gateway()
-            ended = len(run.ended)
+            crashes = len(run.crashes_s)
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 429)
-            self.assertEqual(len(run.ended), ended)
+            self.assertEqual(len(run.crashes_s), crashes)
 
     async def test_evidence_survives_a_log_restored_from_an_older_backup(
         self,
@@ -165,7 +165,7 @@
             await _quarantine_everywhere(fleet, run)
             await fleet.until(lambda: all(e.listens for e in run.endpoints))
             for endpoint in run.endpoints:
-                endpoint.harmed = False
+                endpoint.vulnerable = False
                 await endpoint.replace("v2")
             known = fleet.gateways[1].endpoints
             await fleet.until(lambda: len(known.registered_ids()) == len(run.endpoints))
@@ -193,7 +193,7 @@
             await fleet.add_gateway()
             self.assertEqual(_states(fleet.gateways[2]), [])
             for endpoint in run.endpoints:
-                endpoint.harmed = False
+                endpoint.vulnerable = False
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 200)
 
     async def test_a_malformed_record_is_ignored(self) -> None:
@@ -309,7 +309,7 @@
             await fleet.until(
                 lambda: not known.available_builds(service, time.monotonic())
             )
-            endpoint.end("i-0-1")
+            endpoint.crash("i-0-1")
             self.assertEqual(await asked, 502)
             await asyncio.sleep(0.4)
             self.assertEqual(_states(fleet.gateways[0]), [])
