--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -11,7 +11,7 @@
 import time
 
 from aiohttp import web
-from tests.gateway_fleet import SEAL, Endpoint, Fleet
+from tests.gateway_fleet import SEAL_HEADERS, Endpoint, Fleet
 
 from celerytrack.fingerprint import Fingerprint
 
@@ -20,7 +20,7 @@
 
 async def _good(request: web.BaseRequest) -> web.StreamResponse:
     await request.read()
-    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL}
+    headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
     return web.Response(body=b"good", headers=headers)
 
 
@@ -29,7 +29,7 @@
     from celerytrack.findings import Crash
     from celerytrack.ids import EndpointId
 
-    book = fleet.gateways[0].suspects.book
+    book = fleet.gateways[0].suspects.tracker
     found = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
     for number in range(3):
         ending = Crash(EndpointId(f"i-{number}"))
--- a/bench/partition_bench.py
+++ b/bench/partition_bench.py
@@ -21,7 +21,7 @@
 
 import attrs
 
-from celerytrack.escrow import EscrowBook, HeldGrant, plan_refill
+from celerytrack.escrow import Escrow, HeldGrant, plan_refill
 from celerytrack.ids import AccountId, EntryId, RequestId
 from celerytrack.ledger import Bill, BillOutcome, Ledger
 from celerytrack.settings import GrantPolicy
@@ -59,11 +59,11 @@
 def make_escrow(
     world: World, policy: GrantPolicy
 ) -> tuple[Serve, Callable[[int], None]]:
-    """Ours: what :class:`~celerytrack.entry.ledger_keeper.LedgerKeeper` does,
+    """Ours: what :class:`~celerytrack.entry.grant_manager.GrantManager` does,
     with the log reached at once, or not at all when cut."""
     log: list[dict[str, Any]] = []
     folds = {e: Ledger() for e in (CUT, HOME)}
-    books = {e: EscrowBook(e) for e in (CUT, HOME)}
+    books = {e: Escrow(e) for e in (CUT, HOME)}
 
     def fold(entry: EntryId) -> None:
         for offset in range(folds[entry].next_offset, len(log)):
@@ -71,7 +71,7 @@
 
     def settle(entry: EntryId, grants: list[HeldGrant]) -> None:
         for grant in grants:
-            books[entry].forget(grant.grant_id)
+            books[entry].remove(grant.grant_id)
             log.append({"type": "settle", "grant_id": grant.grant_id})
         fold(entry)
 
@@ -109,7 +109,7 @@
             other = CUT if entry == HOME else HOME
             if not plan.others_tokens or world.cut:
                 return
-            settle(other, books[other].spare(ACCOUNT))
+            settle(other, books[other].idle_grants(ACCOUNT))
             fold(entry)
 
     def serve(entry: EntryId, cost: int, now_s: float) -> bool:
--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -27,7 +27,7 @@
 )
 from celerytrack.ids import EndpointId, ServiceName, Zone
 from celerytrack.prefill import PREFILL_TOKENS_PER_S, prefill_s
-from celerytrack.restored_records import RestoredRecords
+from celerytrack.restored_registrations import RestoredRegistrations
 from celerytrack.routing import rendezvous_weight
 
 RUNNING_REQUEST_COST_S = 0.00015
@@ -103,16 +103,16 @@
         self._rng = rng
         self._endpoints: dict[EndpointId, Endpoint] = {}
         self._tombstones: LRUCache[EndpointId, Registration] = LRUCache(MAX_TOMBSTONES)
-        self.restores = RestoredRecords()
+        self.restores = RestoredRegistrations()
 
     def register(self, registration: Registration, now_s: float) -> RegistrationChange:
         """Apply a registration record that was read at ``now_s``."""
         known = self._endpoints.get(registration.endpoint_id)
         last = known.registration if known else None
         last = last or self._tombstones.get(registration.endpoint_id)
-        if last is not None and self.restores.outdated(registration, last):
+        if last is not None and self.restores.is_outdated(registration, last):
             return RegistrationChange.STALE
-        self.restores.written(registration.endpoint_id)
+        self.restores.mark_written(registration.endpoint_id)
         if known is None:
             self._add(registration, now_s)
             return RegistrationChange.NEW
@@ -133,7 +133,7 @@
         gone = (
             i for i, e in self._endpoints.items() if e.deregistered_at_s is not None
         )
-        self.restores.came_back({*gone, *self._tombstones})
+        self.restores.on_log_restored({*gone, *self._tombstones})
 
     def _add(self, registration: Registration, now_s: float) -> None:
         endpoint = Endpoint(registration)
--- a/src/celerytrack/gateway/outcomes.py
+++ b/src/celerytrack/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request ended: the answer to the caller, one log line, one count."""
+"""Outcomes of requests: the answer to the caller, one log line and one count."""
 
 import logging
 import math
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from celerytrack.events import Event, log_event
-from celerytrack.gateway.exchange import AttemptFailure, Exchange, PlainAnswer
+from celerytrack.gateway.exchange import AttemptFailure, BufferedAnswer, Exchange
 from celerytrack.gateway.refusals import refusal_response
 from celerytrack.gateway.state import Gateway
 from celerytrack.planned_stop import PlannedStop
@@ -16,10 +16,12 @@
 _log = logging.getLogger(__name__)
 
 
-def cut(gateway: Gateway, exchange: Exchange, detail: str) -> web.StreamResponse:
-    """End a begun answer so that it does not look whole."""
+def abort_stream(
+    gateway: Gateway, exchange: Exchange, detail: str
+) -> web.StreamResponse:
+    """Abort a stream that has begun, so that the caller sees it as incomplete."""
     assert exchange.response is not None
-    count(gateway, exchange, "cut")
+    count_outcome(gateway, exchange, "cut")
     log_event(
         _log,
         Event.STREAM_CUT,
@@ -36,8 +38,8 @@
     return exchange.response
 
 
-def plain(gateway: Gateway, answer: PlainAnswer) -> web.StreamResponse:
-    """The response that carries an endpoint's whole answer."""
+def make_response(gateway: Gateway, answer: BufferedAnswer) -> web.StreamResponse:
+    """Make the response that carries an endpoint's complete answer."""
     response = web.Response(
         status=answer.status, headers=answer.headers, body=answer.body
     )
@@ -46,9 +48,9 @@
     return response
 
 
-def answered(gateway: Gateway, exchange: Exchange, status: int) -> None:
-    """The caller got its endpoint's answer, good or not."""
-    count(gateway, exchange, "answered" if status < 500 else "endpoint_failed")
+def record_answer(gateway: Gateway, exchange: Exchange, status: int) -> None:
+    """Log and count a request whose caller got an endpoint's answer of any status."""
+    count_outcome(gateway, exchange, "answered" if status < 500 else "endpoint_failed")
     choice = exchange.choice
     assert choice is not None
     now_s = time.monotonic()
@@ -62,29 +64,29 @@
         target_ms=round(exchange.route.target_s * 1_000),
         tried=exchange.tried,
         events=exchange.events.event_count,
-        covered_ms=_after_ms(exchange, exchange.covered_s),
+        covered_ms=_since_start_ms(exchange, exchange.reserved_at_s),
         predicted_ms=round(choice.predicted_s * 1_000),
         work_ms=round(choice.work_s * 1_000),
-        first_ms=_after_ms(exchange, exchange.first_s),
-        took_ms=_after_ms(exchange, now_s),
+        first_ms=_since_start_ms(exchange, exchange.first_data_at_s),
+        took_ms=_since_start_ms(exchange, now_s),
     )
 
 
-def taken_leaving(
+def log_admitted_while_draining(
     gateway: Gateway, exchange: Exchange, stop: PlannedStop, now_s: float
 ) -> None:
-    """A request was taken though a planned stop has begun."""
+    """Log a request that was admitted after a planned stop had begun."""
     log_event(
         _log,
         Event.TAKEN_LEAVING,
         request_id=exchange.facts.request_id,
         route=exchange.route.name,
         after_ms=round((now_s - stop.began_s) * 1_000),
-        may_last_ms=round((exchange.ends_s - now_s) * 1_000),
+        may_last_ms=round((exchange.deadline_at_s - now_s) * 1_000),
     )
 
 
-def _after_ms(exchange: Exchange, at_s: float | None) -> int | None:
+def _since_start_ms(exchange: Exchange, at_s: float | None) -> int | None:
     return None if at_s is None else round((at_s - exchange.started_s) * 1_000)
 
 
@@ -94,11 +96,11 @@
     exchange: Exchange | None,
     refusal: Refusal,
 ) -> web.StreamResponse:
-    """Answer with a refusal or failure of our own."""
-    ran = refusal.verdict is Verdict.MAY_HAVE_RUN
+    """Answer with a refusal or failure that this entry generates."""
+    may_have_run = refusal.verdict is Verdict.MAY_HAVE_RUN
     log_event(
         _log,
-        Event.FAILED if ran else Event.REFUSED,
+        Event.FAILED if may_have_run else Event.REFUSED,
         request_id=exchange.facts.request_id if exchange else None,
         path=request.path,
         route=exchange.route.name if exchange else None,
@@ -107,11 +109,11 @@
         detail=refusal.detail,
         tried=exchange.tried if exchange else [],
         account=exchange.account if exchange else None,
-        rows_age_ms=_age_ms(gateway.keeper.members.read_age_s(time.monotonic())),
+        rows_age_ms=_age_ms(gateway.share_sync.members.read_age_s(time.monotonic())),
         config_age_ms=_age_ms(gateway.config_age_s(time.monotonic())),
-        config_version=gateway.table.version if gateway.table else None,
+        config_version=gateway.routing_table.version if gateway.routing_table else None,
     )
-    count(gateway, exchange, refusal.reason.value)
+    count_outcome(gateway, exchange, refusal.reason.value)
     return refusal_response(refusal, gateway.leaving)
 
 
@@ -119,16 +121,16 @@
     return round(age_s * 1_000) if math.isfinite(age_s) else None
 
 
-def count(gateway: Gateway, exchange: Exchange | None, outcome: str) -> None:
-    """Count how a request ended."""
+def count_outcome(gateway: Gateway, exchange: Exchange | None, outcome: str) -> None:
+    """Count the outcome of a request."""
     route = exchange.route.name if exchange else "none"
     gateway.telemetry.outcomes.labels(route, outcome).inc()
 
 
-def attempt_failed(
+def record_attempt_failure(
     gateway: Gateway, exchange: Exchange, endpoint: str, failure: AttemptFailure
 ) -> None:
-    """One endpoint gave no good answer."""
+    """Log and count an attempt that failed at ``endpoint``."""
     gateway.telemetry.attempts_failed.labels(endpoint, failure.reason.value).inc()
     log_event(
         _log,
@@ -139,5 +141,5 @@
         verdict=failure.verdict.value,
         detail=failure.detail,
         events=exchange.events.event_count,
-        fingerprint=exchange.fingerprint.hex() if failure.broke else None,
+        fingerprint=exchange.fingerprint.hex() if failure.was_interrupted else None,
     )
--- /dev/null
+++ b/src/celerytrack/gateway/peer_messages.py
@@ -0,0 +1,178 @@
+"""Datagrams between entries.
+
+- Long prompts, as they are sent. An entry sees only its own part of the load: if two
+  entries send a long prompt to the same engine at the same time, these delay each other
+  and every short request behind them.
+- A planned stop, as it begins. While the log is slow or unreachable, the row that says
+  so arrives late or not at all, and callers would be sent to an entry that leaves.
+- Requests during which endpoints crashed (:mod:`celerytrack.suspects`), as soon as an
+  entry sees it. The log carries them too, but later.
+
+Each message is one datagram to each entry. Delivery is best effort: if a datagram is
+lost, the receiver keeps its previous view, and no request waits for it.
+"""
+
+import asyncio
+import itertools
+import logging
+from collections.abc import Callable, Iterable
+from typing import cast
+
+import attrs
+import msgpack
+
+from celerytrack.events import Event, log_event
+from celerytrack.findings import Findings
+from celerytrack.ids import EndpointId, EntryId
+from celerytrack.platform.suspect_records import (
+    KIND,
+    FindingsError,
+    encode_findings,
+    findings_of,
+)
+
+_log = logging.getLogger(__name__)
+
+MIN_PROMPT_WORK_S = 0.03
+"""Prompts of less prefill time are not announced: the delay that they cause to other
+requests is too short for a caller to notice."""
+MAX_PROMPT_RECIPIENTS = 100
+"""Most entries that a prompt is announced to: a larger fleet has more engines than one
+entry uses."""
+MAX_PROMPT_WORK_S = 60.0
+"""Largest prefill time in a message: a prompt that fills an engine's memory takes half
+of it. A larger value would keep all entries from the engine."""
+
+
+@attrs.frozen
+class LongPromptMessage:
+    """A long prompt was sent to an endpoint.
+
+    :ivar work_s: prefill time of the prompt on the engine.
+    """
+
+    endpoint_id: EndpointId
+    work_s: float
+
+
+@attrs.frozen
+class LeavingMessage:
+    """A planned stop of an entry has begun.
+
+    :ivar started_s: start of the ending incarnation, as in its rows.
+    """
+
+    entry_id: EntryId
+    started_s: float
+
+
+PeerMessage = LongPromptMessage | LeavingMessage | Findings
+MessageHandler = Callable[[PeerMessage], None]
+
+
+class PeerMessageError(ValueError):
+    """A datagram cannot be decoded."""
+
+
+def decode_peer_message(data: bytes) -> PeerMessage:
+    """Decode a datagram.
+
+    :raises NoteError: naming what is wrong.
+    """
+    try:
+        fields = msgpack.unpackb(data)
+    except (ValueError, TypeError, RecursionError, msgpack.UnpackException) as exc:
+        raise PeerMessageError(f"{type(exc).__name__}: {exc}") from None
+    match fields:
+        case [str(endpoint_id), int() | float() as work_s] if type(work_s) is not bool:
+            if not 0 <= work_s <= MAX_PROMPT_WORK_S:
+                raise PeerMessageError(
+                    f"prefill time must be 0 to {MAX_PROMPT_WORK_S:.0f} s: {work_s}"
+                )
+            return LongPromptMessage(EndpointId(endpoint_id), float(work_s))
+        case ["leaving", str(entry_id), float(started_s)]:
+            return LeavingMessage(EntryId(entry_id), started_s)
+        case [kind, *_] if kind == KIND:
+            return _decode_findings(fields)
+    raise PeerMessageError(f"unknown message: {str(fields)[:100]}")
+
+
+def _decode_findings(fields: object) -> Findings:
+    try:
+        return findings_of(fields)
+    except FindingsError as exc:
+        raise PeerMessageError(str(exc)) from None
+
+
+class PeerMessenger(asyncio.DatagramProtocol):
+    """Sends and receives messages on one UDP socket.
+
+    :param handler: called with each message of another entry.
+    """
+
+    def __init__(self, handler: MessageHandler) -> None:
+        self._handler = handler
+        self._transport: asyncio.DatagramTransport | None = None
+
+    async def open(self, address: str) -> None:
+        """Bind the socket to ``address`` (``host:port``)."""
+        loop = asyncio.get_running_loop()
+        await loop.create_datagram_endpoint(
+            lambda: self, local_addr=_split_address(address)
+        )
+
+    def send_long_prompt(
+        self, addresses: Iterable[str], message: LongPromptMessage
+    ) -> None:
+        """Announce a prompt sent to an endpoint to the entries at ``addresses``."""
+        recipients = itertools.islice(addresses, MAX_PROMPT_RECIPIENTS)
+        self._send(recipients, msgpack.packb((message.endpoint_id, message.work_s)))
+
+    def send_leaving(self, addresses: Iterable[str], message: LeavingMessage) -> None:
+        """Announce to the entries at ``addresses`` that this one leaves."""
+        self._send(
+            addresses, msgpack.packb(("leaving", message.entry_id, message.started_s))
+        )
+
+    def send_findings(self, addresses: Iterable[str], findings: Findings) -> None:
+        """Send findings about suspected requests to the entries at ``addresses``."""
+        self._send(addresses, encode_findings(findings))
+
+    def _send(self, addresses: Iterable[str], data: bytes) -> None:
+        if self._transport is None:
+            return
+        for address in addresses:
+            try:
+                self._transport.sendto(data, _split_address(address))
+            except (ValueError, OSError) as exc:
+                log_event(_log, Event.NOTE_FAILED, address=address, detail=str(exc))
+
+    def close(self) -> None:
+        """Close the socket."""
+        if self._transport is not None:
+            self._transport.close()
+
+    # -- asyncio.DatagramProtocol ------------------------------------------
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport of the open socket."""
+        # The datagram transports of event loops need not subclass asyncio's.
+        self._transport = cast(asyncio.DatagramTransport, transport)
+
+    def datagram_received(self, data: bytes, addr: object) -> None:
+        """Decode a datagram and hand over its message."""
+        try:
+            message = decode_peer_message(data)
+        except PeerMessageError as exc:
+            log_event(_log, Event.NOTE_REJECTED, logging.WARNING, detail=str(exc))
+            return
+        self._handler(message)
+
+    def error_received(self, exc: Exception) -> None:
+        """Log an ICMP error: no process listens on the port of an entry."""
+        log_event(_log, Event.NOTE_FAILED, logging.DEBUG, detail=repr(exc))
+
+
+def _split_address(address: str) -> tuple[str, int]:
+    host, port = address.rsplit(":", 1)
+    return host, int(port)
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -1,6 +1,6 @@
 """Membership of the fleet and the addresses given to callers, without I/O.
 
-Each entry renews its :class:`Member` row as a heartbeat (:mod:`celerytrack.row_pace`).
+Each entry renews its :class:`Member` row as a heartbeat (:mod:`celerytrack.row_rate`).
 An entry that misses some heartbeats is left out of address answers, but only while this
 entry can read the log. While the log is unreachable no row is renewed, and the last
 view stays valid.
@@ -16,7 +16,7 @@
 from celerytrack.ids import EntryId, Zone
 from celerytrack.links import min_caller_link_mbps
 from celerytrack.member import Member, MemberState, is_older_row
-from celerytrack.row_pace import beat_interval_s
+from celerytrack.row_rate import heartbeat_interval_s
 
 MISSED_HEARTBEATS = 3.5
 """Heartbeat intervals after which an entry counts as silent: one row may be lost and
@@ -83,7 +83,7 @@
 
 
 def _silence_limit_s(entries: int) -> float:
-    return max(MIN_SILENCE_S, beat_interval_s(entries) * MISSED_HEARTBEATS)
+    return max(MIN_SILENCE_S, heartbeat_interval_s(entries) * MISSED_HEARTBEATS)
 
 
 CLOCK_SAMPLES = 3
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
 
 
 def _states(gateway: Gateway) -> list[SuspectState]:
-    suspects = gateway.suspects.book.list_suspects(time.monotonic())
+    suspects = gateway.suspects.tracker.list_suspects(time.monotonic())
     return [suspect.state for suspect in suspects]
 
 
@@ -43,7 +43,7 @@
 
 def _lose_notes(fleet: Fleet) -> None:
     for gateway in fleet.gateways:
-        gateway.notes.tell_findings = lambda addresses, findings: None  # type: ignore[method-assign]
+        gateway.peer_messenger.send_findings = lambda addresses, findings: None  # type: ignore[method-assign]
 
 
 async def _quarantine_everywhere(fleet: Fleet, run: CrashRun) -> None:
@@ -133,7 +133,7 @@
             await _quarantine_everywhere(fleet, run)
             await fleet.log.restore_after(older, 0.3)
             records = fleet.log.topic(SUSPECTS_TOPIC)
-            await fleet.until(lambda: len(records.newest()) > 0)
+            await fleet.wait_until(lambda: len(records.newest()) > 0)
             await fleet.add_gateway()
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=2), 429)
 
@@ -142,8 +142,8 @@
     ) -> None:
         async with Fleet(gateways=1) as fleet, CrashRun(fleet, 8, seed=8) as run:
             await _quarantine_everywhere(fleet, run)
-            book = fleet.gateways[0].keeper.book
-            left = book.left_tokens(AccountId("t"), time.monotonic())
+            book = fleet.gateways[0].share_sync.budgets
+            left = book.available_tokens(AccountId("t"), time.monotonic())
             began_s = time.monotonic()
             status, headers, body = await fleet.ask(
                 "/plain/x", "last", body=MARKER, X_Token_Count="10,10"
@@ -154,7 +154,7 @@
                 float(headers["Retry-After"]), 0.9 * QUARANTINE_PERIODS_S[0]
             )
             self.assertIn(b"did_not_run", body)
-            after = book.left_tokens(AccountId("t"), time.monotonic())
+            after = book.available_tokens(AccountId("t"), time.monotonic())
             self.assertEqual(after, left)
 
     async def test_it_is_probed_once_all_endpoints_have_another_build(
@@ -163,14 +163,16 @@
         """Requests stayed in quarantine after the software was fixed."""
         async with Fleet(gateways=2) as fleet, CrashRun(fleet, 6, seed=9) as run:
             await _quarantine_everywhere(fleet, run)
-            await fleet.until(lambda: all(e.listens for e in run.endpoints))
+            await fleet.wait_until(lambda: all(e.listens for e in run.endpoints))
             for endpoint in run.endpoints:
                 endpoint.vulnerable = False
                 await endpoint.replace("v2")
             known = fleet.gateways[1].endpoints
-            await fleet.until(lambda: len(known.registered_ids()) == len(run.endpoints))
+            await fleet.wait_until(
+                lambda: len(known.registered_ids()) == len(run.endpoints)
+            )
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=1), 200)
-            await fleet.until(lambda: not any(_states(g) for g in fleet.gateways))
+            await fleet.wait_until(lambda: not any(_states(g) for g in fleet.gateways))
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=0), 200)
 
     async def test_an_operator_can_list_and_lift_quarantines(self) -> None:
@@ -189,7 +191,7 @@
             with self.assertRaises(SuspectsError):
                 await lift_suspect(store, "ff" * 16)
             await lift_suspect(store, suspect.fingerprint.hex()[:8])
-            await fleet.until(lambda: not any(_states(g) for g in fleet.gateways))
+            await fleet.wait_until(lambda: not any(_states(g) for g in fleet.gateways))
             await fleet.add_gateway()
             self.assertEqual(_states(fleet.gateways[2]), [])
             for endpoint in run.endpoints:
@@ -212,20 +214,20 @@
         self.keeper = self.fleet.gateways[0].suspects
         for number in range(2):
             ending = Crash(EndpointId(f"i-{number}"))
-            self.keeper.book.record_crash(ending, [self.known], time.monotonic())
+            self.keeper.tracker.record_crash(ending, [self.known], time.monotonic())
 
     async def test_a_cancelled_claim_is_released(self) -> None:
         """The caller left while the claim was published. The claim then lasted until
         its deadline, and no entry could probe the request."""
         self.fleet.log.silent = True
         trial = Probe(self.known, EndpointId("i-9"), 60.0)
-        claim = asyncio.create_task(self.keeper.claim(trial, []))
+        claim = asyncio.create_task(self.keeper.begin_probe(trial, []))
         await asyncio.sleep(0.1)
-        self.assertTrue(self.keeper.book.is_probing(self.known))
+        self.assertTrue(self.keeper.tracker.is_probing(self.known))
         claim.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await claim
-        self.assertFalse(self.keeper.book.is_probing(self.known))
+        self.assertFalse(self.keeper.tracker.is_probing(self.known))
         self.fleet.log.silent = False
 
     @params(("e0@127.0.0.1", True), ("another", False))
@@ -252,9 +254,9 @@
             fleet.log.refused.add(SUSPECTS_TOPIC)
             for number in range(2):
                 ending = Crash(EndpointId(f"i-{number}"))
-                keeper.book.record_crash(ending, [known], time.monotonic())
+                keeper.tracker.record_crash(ending, [known], time.monotonic())
             trial = Probe(known, EndpointId("i-9"), 60.0)
-            self.assertEqual(await keeper.claim(trial, others), may)
+            self.assertEqual(await keeper.begin_probe(trial, others), may)
 
 
 class EvidenceTest(unittest.IsolatedAsyncioTestCase):
@@ -301,12 +303,12 @@
         ):
             (endpoint,) = run.endpoints
             asked = asyncio.create_task(run.ask(run.harmless, b"long", "/once/x"))
-            await fleet.until(lambda: bool(run.arrivals))
+            await fleet.wait_until(lambda: bool(run.arrivals))
             record = endpoint.registration(state="draining")
             fleet.log.put(ENDPOINTS_TOPIC, "i-0-1", record)
             known = fleet.gateways[0].endpoints
             service = ServiceName("s")
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: not known.available_builds(service, time.monotonic())
             )
             endpoint.crash("i-0-1")
@@ -321,18 +323,18 @@
             (endpoint,) = fleet.endpoints
             gateway = fleet.gateways[0]
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", endpoint.registration(born=1_000))
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: any(
                     e.registration.born_ms
                     for e in gateway.endpoints._endpoints.values()
                 )
             )
             asked = asyncio.create_task(fleet.ask("/once/x"))
-            await fleet.until(lambda: len(endpoint.seen) > 0)
+            await fleet.wait_until(lambda: len(endpoint.seen) > 0)
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", endpoint.registration(born=2_000))
             status, _, _ = await asked
             self.assertEqual(status, 502)
-            await fleet.until(lambda: _states(gateway) == [SuspectState.WATCHED])
+            await fleet.wait_until(lambda: _states(gateway) == [SuspectState.WATCHED])
 
 
 class ManyRequestsTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -21,8 +21,8 @@
     ENDPOINTS_TOPIC,
     ENTRIES_TOPIC,
 )
-from celerytrack.prepaid import Row
-from tests.gateway_fleet import SEAL, Endpoint, Fleet, client_of, config
+from celerytrack.prepaid import AccountClaim
+from tests.gateway_fleet import SEAL_HEADERS, Endpoint, Fleet, config, make_store_client
 from tests.keyed_log import KeyedLog
 
 LINK_BYTES_PER_S = 5e6 / 8
@@ -43,7 +43,9 @@
 
 def _row(i: int) -> bytes:
     """The row of an entry with 24 accounts."""
-    shares = {AccountId(f"account-{n}"): Row(100_000 + i, 9, 9, 9) for n in range(24)}
+    shares = {
+        AccountId(f"account-{n}"): AccountClaim(100_000 + i, 9, 9, 9) for n in range(24)
+    }
     address = "10.1.0.40:8227"
     serving = MemberState.SERVING
     member = Member(EntryId("e"), 1, address, address, Zone("z"), serving, float(i))
@@ -51,7 +53,7 @@
 
 
 async def _answer(request: web.BaseRequest) -> web.Response:
-    return web.Response(headers={**SEAL, "X-Attempt-Id": "r1"})
+    return web.Response(headers={**SEAL_HEADERS, "X-Attempt-Id": "r1"})
 
 
 class BackAfterACutTest(unittest.IsolatedAsyncioTestCase):
@@ -80,7 +82,9 @@
                 fleet.log.put(ENTRIES_TOPIC, f"entry-{i % 64}", _row(i))
             fleet.log.down = False
             gateway = fleet.gateways[0]
-            await fleet.until(lambda: gateway.table.version == 29, IN_FORCE_S)
+            await fleet.wait_until(
+                lambda: gateway.routing_table.version == 29, IN_FORCE_S
+            )
 
 
 class ConfigStormTest(unittest.IsolatedAsyncioTestCase):
@@ -97,7 +101,7 @@
 
             async def watch():
                 while True:
-                    version = gateway.table.version
+                    version = gateway.routing_table.version
                     for v in range(1, version + 1):
                         in_force_s.setdefault(v, time.monotonic())
                     await asyncio.sleep(0.01)
@@ -148,7 +152,7 @@
         """
         log = KeyedLog()
         log.link.bytes_per_s = LINK_BYTES_PER_S
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         known: dict[str, int] = {}
 
         def apply(record):
@@ -186,7 +190,7 @@
 
     async def _assert_read(self, only_key):
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         taken = {}
 
         def apply(record):
@@ -205,7 +209,7 @@
         """An entry that starts first and reads right after each row of its own never
         reads the others' rows, and takes their tokens for free."""
         log = KeyedLog()
-        client = await client_of(self, log)
+        client = await make_store_client(self, log)
         taken = {}
 
         def apply(record):
@@ -309,15 +313,15 @@
                 (0.6, LEAVING_KNOWN_S - 0.7, False),
                 (0.6, LEAVING_KNOWN_S - 0.5, True),
             ):
-                gateway.endpoints_took_s = took_s
+                gateway.endpoints_read_time_s = took_s
                 gateway.endpoints_reachable = True
-                self.assertIs(gateway.endpoints_late(known_at_s + age_s), late)
+                self.assertIs(gateway.is_endpoint_view_stale(known_at_s + age_s), late)
 
     async def test_a_read_tells_how_long_the_link_takes(self):
         async with Fleet(Endpoint("a", _answer)) as fleet:
             gateway = fleet.gateways[0]
-            self.assertLess(gateway.endpoints_took_s, 0.3)
+            self.assertLess(gateway.endpoints_read_time_s, 0.3)
             fleet.log.link.bytes_per_s = 10_000.0
             other = fleet.endpoints[0].registration(service="other" * 600)
             fleet.log.put(ENDPOINTS_TOPIC, "other", other)
-            await fleet.until(lambda: gateway.endpoints_took_s > 0.25)
+            await fleet.wait_until(lambda: gateway.endpoints_read_time_s > 0.25)
