--- a/src/celerytrack/gateway/draining.py
+++ b/src/celerytrack/gateway/draining.py
@@ -41,7 +41,9 @@
     await _wait_until(lambda: not gateway.in_flight, stop.close_deadline_s)
     gateway.closing = True
     log_stage(gateway, stop, listeners, "requests over")
-    last_row_timeout_at_s = min(stop.close_deadline_s, time.monotonic() + LAST_ROW_TIMEOUT_S)
+    last_row_timeout_at_s = min(
+        stop.close_deadline_s, time.monotonic() + LAST_ROW_TIMEOUT_S
+    )
     await gateway.share_sync.publish_final_row(last_row_timeout_at_s)
     log_stage(gateway, stop, listeners, "last row")
     await _wait_until(lambda: not listeners.unsent_bytes(), stop.close_deadline_s)
