--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -119,13 +119,13 @@
     """
     lasting = Lasting(
         most_s=exchange.deadline_at_s - now_s,
-        likely_s=gateway.durations.likely_s(exchange.route.name),
+        likely_s=gateway.durations.p95_s(exchange.route.name),
         stream=exchange.route.stream,
     )
-    if gateway.closing or not stop.takes(lasting, now_s):
+    if gateway.closing or not stop.can_admit(lasting, now_s):
         detail = f"this entry stops; {lasting}"
         raise RefusedError(did_not_run(Reason.DRAINING, 0.0, detail))
-    exchange.shorten_deadline(stop.answers_end_s)
+    exchange.shorten_deadline(stop.drain_deadline_s)
     log_admitted_while_draining(gateway, exchange, stop, now_s)
 
 
