--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -159,7 +159,7 @@
     state: EntryState, admitted: AdmittedRequest, now_s: float
 ) -> SuspectState:
     """Whether the request is suspected of crashing replicas, and how strongly."""
-    if not state.suspects.book:
+    if not state.suspects.tracker:
         return SuspectState.CLEAR
     return state.suspects.state_of(admitted.fingerprint, admitted.work, now_s)
 
--- a/src/celerytrack/entry/grant_manager.py
+++ b/src/celerytrack/entry/grant_manager.py
@@ -45,7 +45,7 @@
 
 
 class GrantManager:
-    """Owns the replayed ledger and the escrow book.
+    """Owns the replayed ledger and the escrow.
 
     :param log: client of the platform log.
     :param entry: this entry's id.
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -55,47 +55,47 @@
     """The requests that this entry suspects of crashing replicas."""
 
     def __init__(self, entry_id: EntryId) -> None:
-        self.book = SuspectTracker(entry_id)
+        self.tracker = SuspectTracker(entry_id)
         self._suspects_at: Counter[ReplicaId] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def heartbeat_findings(self, now_s: float) -> Findings | None:
         """The findings for the next heartbeat."""
-        if not self.book:
+        if not self.tracker:
             return None
-        findings = self.book.own_findings(now_s, time.time())
+        findings = self.tracker.own_findings(now_s, time.time())
         return None if findings.is_empty else findings
 
     def merge(self, findings: Findings, now_s: float) -> None:
         """Merge the findings of a peer's heartbeat."""
-        self.book.merge(findings, True, now_s)
+        self.tracker.merge(findings, True, now_s)
 
     def state_of(
         self, fingerprint: Fingerprint, work: WorkClass, now_s: float
     ) -> SuspectState:
         """How strongly a request is suspected of crashing replicas."""
-        return self.book.state_of(fingerprint, {work.model}, now_s)
+        return self.tracker.state_of(fingerprint, {work.model}, now_s)
 
     def quarantine_refusal(self, fingerprint: Fingerprint, now_s: float) -> Refusal:
         """The refusal of a request that is quarantined or probed by another entry."""
-        back_in_s = self.book.retry_after_s(fingerprint, now_s)
-        after_s = OPERATOR_LIFT_RETRY_AFTER_S if back_in_s is None else back_in_s
+        free_in_s = self.tracker.retry_after_s(fingerprint, now_s)
+        after_s = OPERATOR_LIFT_RETRY_AFTER_S if free_in_s is None else free_in_s
         detail = f"replicas ended under request {fingerprint.hex()}"
         after_s = max(after_s, TYPICAL_PROBE_S)
         return did_not_run(Reason.QUARANTINED, after_s, detail)
 
     def replicas_to_avoid(
-        self, standing: SuspectState, now_s: float
+        self, suspect_state: SuspectState, now_s: float
     ) -> frozenset[ReplicaId]:
         """The replicas that a request should not be sent to.
 
         These are the replicas on which a probe runs and, for a suspect request, also
         those that run another suspect.
         """
-        if not self.book:
+        if not self.tracker:
             return frozenset()
-        names = {ReplicaId(name) for name in self.book.probed_endpoints(now_s)}
-        if standing is not SuspectState.CLEAR:
+        names = {ReplicaId(name) for name in self.tracker.probed_endpoints(now_s)}
+        if suspect_state is not SuspectState.CLEAR:
             names.update(self._suspects_at.elements())
         return frozenset(names)
 
@@ -106,16 +106,16 @@
 
         :returns: whether this entry won the claim.
         """
-        trial = Probe(fingerprint, EndpointId(replica), lasts_s)
-        if self.book.begin_probe(trial, time.monotonic()) is None:
+        probe = Probe(fingerprint, EndpointId(replica), lasts_s)
+        if self.tracker.begin_probe(probe, time.monotonic()) is None:
             return False
         try:
             await asyncio.sleep(CLAIM_PROPAGATION_S)
         except asyncio.CancelledError:
             # The caller disconnected during the wait.
-            self.book.cancel_probe(fingerprint)
+            self.tracker.cancel_probe(fingerprint)
             raise
-        return self.book.is_probing(fingerprint)
+        return self.tracker.is_probing(fingerprint)
 
     def suspect_sent(self, replica: ReplicaId) -> None:
         """Count a suspect request sent to ``replica``."""
@@ -128,15 +128,15 @@
     def cancel_probe(self, request: Fingerprinted) -> None:
         """Release this entry's claim on a probe of the request, if it has one; the
         probe has no result."""
-        if self.book:
-            self.book.cancel_probe(request.fingerprint)
+        if self.tracker:
+            self.tracker.cancel_probe(request.fingerprint)
 
     def record_success(self, request: Fingerprinted, now_s: float) -> None:
         """Clear the request: a replica answered it completely."""
-        if not self.book:
+        if not self.tracker:
             return
         fingerprint = request.fingerprint
-        cleared = self.book.record_success(fingerprint, now_s)
+        cleared = self.tracker.record_success(fingerprint, now_s)
         if not cleared.is_empty:
             log_event(
                 _log,
@@ -160,15 +160,15 @@
         at_s = int(time.time()) // SAME_CRASH_WINDOW_S
         try:
             async with asyncio.timeout(ENDING_KNOWN_S):
-                ended = await has_ended(address)
+                has_crashed = await has_ended(address)
         except TimeoutError:
-            ended = False
-        if not ended:
-            self.book.cancel_probe(fingerprint)
+            has_crashed = False
+        if not has_crashed:
+            self.tracker.cancel_probe(fingerprint)
             return
-        ending = Crash(EndpointId(replica), at_s, model)
+        crash = Crash(EndpointId(replica), at_s, model)
         now_s = time.monotonic()
-        self.book.record_crash(ending, [fingerprint], now_s)
+        self.tracker.record_crash(crash, [fingerprint], now_s)
         log_event(
             _log,
             Event.ENDPOINT_ENDED,
@@ -176,6 +176,6 @@
             endpoint=replica,
             fingerprints=[fingerprint.hex()],
         )
-        suspect = self.book.describe(fingerprint, now_s)
+        suspect = self.tracker.describe(fingerprint, now_s)
         if suspect.state is SuspectState.QUARANTINED:
             log_quarantined(_log, suspect)
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -139,23 +139,26 @@
     while True:
         if state.attempts_deadline.has_passed(time.monotonic()):
             return Failure(history.refusal or draining_before_send())
-        standing = suspect_state_of(state, admitted, time.monotonic())
-        if standing is SuspectState.QUARANTINED:
+        suspect_state = suspect_state_of(state, admitted, time.monotonic())
+        if suspect_state is SuspectState.QUARANTINED:
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         try:
-            replica = _choose_replica(state, admitted, history, ask, standing)
+            replica = _choose_replica(state, admitted, history, ask, suspect_state)
         except RefusedError as exc:
             if history.refusal is not None:
                 _log_not_retried(request_id, NoRetryReason.NO_REPLICA, exc.refusal)
             return Failure(history.refusal or exc.refusal)
-        if standing is SuspectState.PROBE_ONLY and not await state.suspects.begin_probe(
-            admitted.fingerprint, replica.replica_id, MAX_PROBE_S
+        if (
+            suspect_state is SuspectState.PROBE_ONLY
+            and not await state.suspects.begin_probe(
+                admitted.fingerprint, replica.replica_id, MAX_PROBE_S
+            )
         ):
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         now_s = time.time()
         first_token_s = predicted_s(replica, replica.load(now_s), ask, Placement())
         sent = replica.send(ask, first_token_s, now_s)
-        suspected = standing is not SuspectState.CLEAR
+        suspected = suspect_state is not SuspectState.CLEAR
         if suspected:
             state.suspects.suspect_sent(replica.replica_id)
         try:
@@ -193,7 +196,7 @@
     admitted: AdmittedRequest,
     history: _AttemptHistory,
     ask: Ask,
-    standing: SuspectState,
+    suspect_state: SuspectState,
 ) -> ReplicaLoad:
     """Choose the replica of the next attempt.
 
@@ -202,7 +205,7 @@
 
     :raises RefusedError: if no replica has room.
     """
-    isolated = state.suspects.replicas_to_avoid(standing, time.monotonic())
+    isolated = state.suspects.replicas_to_avoid(suspect_state, time.monotonic())
     if isolated:
         try:
             return choose_replica(
--- a/tests/test_own_crashing.py
+++ b/tests/test_own_crashing.py
@@ -66,24 +66,24 @@
         suspects = EntrySuspects(EntryId("e1"))
         claim = asyncio.create_task(suspects.begin_probe(KNOWN, ReplicaId("r"), 60.0))
         await asyncio.sleep(0)
-        self.assertTrue(suspects.book.is_probing(KNOWN))
+        self.assertTrue(suspects.tracker.is_probing(KNOWN))
         claim.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await claim
-        self.assertFalse(suspects.book.is_probing(KNOWN))
+        self.assertFalse(suspects.tracker.is_probing(KNOWN))
 
     def test_a_heartbeat_without_findings_ends_the_probes_of_its_entry(self) -> None:
         """Guards against a probe without a result that blocks the request for a
         minute."""
         state = EntryState(load_json(FLEET_JSON, FleetSettings), "entry-1")
         peer = EntryId("entry-2")
-        trial = Probe(KNOWN, EndpointId("r"), 60.0)
-        heartbeat = Heartbeat(peer, "b", 1, False, {}, Findings(peer, probes=(trial,)))
+        probe = Probe(KNOWN, EndpointId("r"), 60.0)
+        heartbeat = Heartbeat(peer, "b", 1, False, {}, Findings(peer, probes=(probe,)))
         state._apply_heartbeat(heartbeat)
         now_s = time.monotonic()
-        self.assertEqual(state.suspects.book.probed_endpoints(now_s), {"r"})
+        self.assertEqual(state.suspects.tracker.probed_endpoints(now_s), {"r"})
         state._apply_heartbeat(attrs.evolve(heartbeat, seq=2, findings=None))
-        self.assertEqual(state.suspects.book.probed_endpoints(now_s), set())
+        self.assertEqual(state.suspects.tracker.probed_endpoints(now_s), set())
         state.link.close()
 
 
