--- a/src/celerytrack/entry/grant_manager.py
+++ b/src/celerytrack/entry/grant_manager.py
@@ -88,7 +88,7 @@
         self._first_seen_s: dict[GrantId, float] = {}
         self._want_sent_at_s: dict[AccountId, float] = {}
         self._settling: set[GrantId] = set()
-        self._ended_boots: frozenset[str] = frozenset()
+        self._earlier_boots: frozenset[str] = frozenset()
         self._snapshot_at_s = float("-inf")
         self._sync_lock = asyncio.Lock()
         self._next_sync: asyncio.Task[None] | None = None
@@ -101,7 +101,7 @@
             self._log, LEDGER_STREAM, start, self._apply, self._restore
         )
         self.reachable = offset is not None
-        self._ended_boots = frozenset(
+        self._earlier_boots = frozenset(
             g.boot_id for g in self.ledger.grants.values() if g.entry == self._entry
         )
         return [
@@ -349,8 +349,8 @@
 
     def _return_grants(self, account: AccountId, tokens: int) -> None:
         # Near the end of a budget its last tokens are idle in the grants of several
-        # entries. Until those leases ended, callers would be refused although the
-        # budget is not used up.
+        # entries. Without this, callers would be refused until those leases end,
+        # although the budget is not used up.
         for grant in self.escrow.idle_grants(account):
             if tokens <= 0:
                 return
@@ -390,7 +390,7 @@
             self._first_seen_s,
             gone,
             self._entry,
-            self._ended_boots,
+            self._earlier_boots,
             self._policy().lease_s,
             now_s,
         ):
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -30,7 +30,7 @@
 TYPICAL_PROBE_S = 1.0
 """Retry-After while a probe of the request runs; most probes have ended by then."""
 OPERATOR_LIFT_RETRY_AFTER_S = 3_600.0
-"""Retry-After if only a new software release can help."""
+"""Retry-After while only an operator or a new release can end the quarantine."""
 SAME_CRASH_WINDOW_S = 1
 """Crashes of one replica within the same second count as one. A replica that restarts
 keeps its id, so the time tells its crashes apart."""
@@ -39,8 +39,8 @@
 def fingerprint(work: WorkClass, account: str, body: object) -> Fingerprint:
     """Identifies repeats of a request by its class of work, account and body."""
     raw = json.dumps(body, sort_keys=True).encode()
-    line = RequestHead("POST", "", work.name, AccountId(account), len(raw))
-    return fingerprint_of(prefix_of(line), raw)
+    head = RequestHead("POST", "", work.name, AccountId(account), len(raw))
+    return fingerprint_of(prefix_of(head), raw)
 
 
 class Fingerprinted(Protocol):
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -205,11 +205,11 @@
 
     :raises RefusedError: if no replica has room.
     """
-    isolated = state.suspects.replicas_to_avoid(suspect_state, time.monotonic())
-    if isolated:
+    to_avoid = state.suspects.replicas_to_avoid(suspect_state, time.monotonic())
+    if to_avoid:
         try:
             return choose_replica(
-                state, admitted.work, history.next_ask(ask), history.avoid | isolated
+                state, admitted.work, history.next_ask(ask), history.avoid | to_avoid
             )
         except RefusedError:
             pass
