--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -224,7 +224,9 @@
         deadline = time.monotonic() + _EVENT_WAIT_S
         while path.read_text().count(f'"message": "{event}"') < count:
             if time.monotonic() > deadline:
-                self.failures.append(f"line {line}: {entry} did not log {event}")
+                self.failures.append(
+                    f"line {line}: no event {event} in the log of {entry}"
+                )
                 return
             time.sleep(0.05)
 
