--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -1,5 +1,5 @@
-"""Entries in modelled time before a log that comes back from older copies, and what
-must hold of them whatever happens."""
+"""Entries in virtual time with a log that is restored from older backups, and the
+invariants that hold whatever happens."""
 
 import asyncio
 import json
@@ -25,20 +25,20 @@
 TOTAL = 40_000
 ENTRIES = 3
 CALLS_PER_S = 6.0
-"""Requests that come beside the steps: with them a total lasts for a third of a run."""
+"""Rate of background requests: with them a total lasts for a third of a run."""
 ENDPOINTS = ("a", "b", "c")
 IN_FORCE_S = 2.1
-"""How long after it was confirmed a version may be unheard of by an entry that denies
-what it does not have: two seconds, and as long as from look to look."""
+"""Time after its confirmation within which a version may be unknown to an entry that
+refuses unknown routes for good: two seconds, and the interval between checks."""
 LAST_ROW_S = 1.0
-"""How long a planned stop waits for its last row."""
+"""How long a planned stop waits for its final row."""
 
 
 @attrs.define
 class Replica:
-    """An endpoint as it is, whatever the log says.
+    """Actual state of an endpoint, whatever the log holds.
 
-    :ivar sequence: the number of the last record it wrote.
+    :ivar sequence: number of the last record that it wrote.
     """
 
     sequence: int = 0
@@ -47,9 +47,9 @@
 
 
 class RestoredFleet:
-    """The log, the entries before it, endpoints, the operator, and what was spent.
+    """The log, entries, endpoints and operator, and the tokens spent.
 
-    :param reports_era: whether the log's answers tell their era.
+    :param reports_era: whether the log's answers report their era.
     :ivar allowed_overspend: tokens by which the total may be exceeded: what an entry
         had spent under a claim that the restore lost, if it was killed before it could
         republish the claim; and what an entry cut off from the log had claimed since
@@ -74,8 +74,8 @@
     # -- the steps ------------------------------------------------------------
 
     async def begin(self) -> None:
-        """Start everything, and wait until it is in order."""
-        self._operator_writes(self.version)
+        """Start everything and wait until all entries serve."""
+        self._write_config(self.version)
         for name in ENDPOINTS:
             self._heartbeat(name)
         for instance in self.instances:
@@ -88,7 +88,7 @@
         await self.run(1.5)
 
     async def run(self, for_s: float) -> None:
-        """Let time pass, and look at everything all the while."""
+        """Let time pass while checking the invariants."""
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + for_s
         while loop.time() < ends_s:
@@ -96,31 +96,31 @@
             self.check()
 
     def spend(self, i: int, tokens: int, part: float, takes_s: float) -> None:
-        """A request at one entry, which uses a part of what it reserves."""
+        """Send one request that uses a part of the tokens it reserves."""
         self.run_in_background(
             self._spend(self.instances[i], tokens, int(tokens * part), takes_s)
         )
 
     def new_version(self) -> None:
-        """The operator writes a version, if the log takes it."""
+        """Have the operator write a version, if the log is available."""
         if not self.log.unavailable:
             self.version += 3
-            self._operator_writes(self.version)
+            self._write_config(self.version)
 
     def drain(self, name: str) -> None:
-        """An endpoint says that it leaves."""
+        """Have an endpoint announce that it leaves."""
         if not self.log.unavailable and not self.replicas[name].gone:
             self.replicas[name].draining = True
             self._heartbeat(name)
 
     def leave(self, name: str) -> None:
-        """An endpoint's registration is removed."""
+        """Remove an endpoint's registration."""
         if not self.log.unavailable and not self.replicas[name].gone:
             self.replicas[name].gone = True
             self.log.put(ENDPOINTS_TOPIC, name, b"")
 
     def restart(self, name: str) -> None:
-        """An endpoint that left is back, by a newer record."""
+        """Register an endpoint that left again, with a newer record."""
         if not self.log.unavailable:
             self.replicas[name].draining = self.replicas[name].gone = False
             self._heartbeat(name)
@@ -128,7 +128,7 @@
     def restore_log(
         self, away_s: float, copies_ago: int, written_again_s: float
     ) -> None:
-        """The log goes away and comes back from a copy."""
+        """Make the log unavailable, then restore it from a backup."""
         if not self.log.unavailable:
             self.run_in_background(
                 self.log.restore(away_s, copies_ago, written_again_s)
@@ -137,27 +137,27 @@
     async def restore_without_claim(
         self, i: int, tokens: int, copies_ago: int, for_s: float
     ) -> None:
-        """One entry claims more, the log comes back without its claim, and the entry
-        cannot write it again for a while; all the others need what it has."""
+        """Restore the log without the recent claim of one entry, which cannot republish
+        it for a while; meanwhile all other entries need these tokens."""
         instance = self.instances[i]
-        await self._burst([i], tokens)
+        await self._spend_in_burst([i], tokens)
         await self.run(0.4)
         instance.store.cut = True
         self.restore_log(0.05, copies_ago, 0.5)
         await self.run(0.4)
-        await self._burst([j for j in range(ENTRIES) if j != i], tokens)
+        await self._spend_in_burst([j for j in range(ENTRIES) if j != i], tokens)
         await self.run(for_s)
-        await self._burst([i], tokens)
+        await self._spend_in_burst([i], tokens)
         instance.store.cut = False
 
-    async def _burst(self, where: list[int], tokens: int) -> None:
+    async def _spend_in_burst(self, where: list[int], tokens: int) -> None:
         for _ in range(8):
             for i in where:
                 self.spend(i, tokens, 1.0, 0.05)
             await self.run(0.1)
 
     async def kill(self, i: int, power: bool, down_s: float) -> None:
-        """End a process, and start it again."""
+        """Kill a process, possibly by a loss of power, and start it again."""
         instance = self.instances[i]
         floor = instance.share().floor_tokens
         instance.end()
@@ -168,15 +168,16 @@
         await instance.take_over()
         allowed_overspend = max(0, floor - instance.share().adopted_tokens)
         allowed_overspend += sum(
-            self._unknown(o) for o in self.instances if o is not instance
+            self._unpublished_tokens(o) for o in self.instances if o is not instance
         )
         assert not allowed_overspend or self.log.era > 1, (
-            "a start forgot what was spent"
+            "a new incarnation lost track of spent tokens"
         )
         self.allowed_overspend += allowed_overspend
 
     async def stop(self, i: int, down_s: float) -> None:
-        """A planned stop, and another start: what it has not spent comes back."""
+        """Stop a process as planned, so that it returns unspent tokens, and start it
+        again."""
         instance = self.instances[i]
         share_sync = instance.gateway.share_sync
         if not instance.serves:
@@ -192,7 +193,7 @@
         await self.kill(i, False, down_s)
 
     async def settle(self) -> None:
-        """End all faults and wait as long as it may take until all is known."""
+        """End all faults and wait until every entry must know everything."""
         for instance in self.instances:
             store = instance.store
             store.cut = False
@@ -202,7 +203,7 @@
         await self.run(12.0)
 
     async def end(self) -> None:
-        """End everything."""
+        """Cancel all tasks; raises the error of any that failed."""
         failed = [t for t in self._tasks if t.done() and t.exception() is not None]
         rest = asyncio.all_tasks() - {asyncio.current_task()}
         for task in rest:
@@ -211,10 +212,10 @@
         for task in failed:
             task.result()
 
-    # -- what must hold ---------------------------------------------------------
+    # -- invariants -------------------------------------------------------------
 
     def check(self) -> None:
-        """What holds at any time."""
+        """Check what holds at any time."""
         used = self.used + self.running
         assert used <= TOTAL + self.allowed_overspend, (used, self.allowed_overspend)
         for instance in self.instances:
@@ -222,8 +223,8 @@
                 continue
             instance.check_tasks()
             if instance.fenced:
-                # A call of an earlier start came late, behind the log's return, which
-                # had forgotten that start's epochs.
+                # A call of an earlier incarnation arrived late, after a restore that
+                # had lost the epochs of that incarnation.
                 assert self.log.era > 1
                 self.run_in_background(self.kill(instance.number, False, 0.3))
                 continue
@@ -231,7 +232,7 @@
             self._check_endpoints(instance)
 
     def check_settled(self) -> None:
-        """What holds once nothing is wrong any more: nothing was missed."""
+        """Check what holds once all faults are over: no record was missed."""
         for instance in self.instances:
             gateway = instance.gateway
             assert gateway.routing_table.version == self.version, (
@@ -256,15 +257,15 @@
             old = [
                 v for v, at_s in self.confirmed_s.items() if now_s - at_s > IN_FORCE_S
             ]
-            assert table.version >= max(old, default=0), "denies from an old version"
+            assert table.version >= max(old, default=0), "refuses by an old version"
 
     def _check_endpoints(self, instance: Instance) -> None:
-        """One that was read to leave gets nothing before it has written again."""
-        read = self._read_of(instance)
+        """Check that an endpoint known to leave is unusable until it writes again."""
+        read = self._last_sequences(instance)
         for name in self.replicas:
             if self._usable(instance, name):
                 number = instance.departed.pop(name, 0)
-                assert read[name] > number, f"{name} left and is back"
+                assert read[name] > number, f"{name} left and is usable again"
             elif name in read:
                 instance.departed[name] = read[name]
 
@@ -283,7 +284,7 @@
     async def request_transfer(
         self, address: str, account: AccountId, tokens: int
     ) -> int:
-        """Entry to entry: a gift, which may be lost on its way."""
+        """Model a token transfer between entries; its reply may be lost."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
         share_sync = other.gateway.share_sync
@@ -296,7 +297,7 @@
         return given if alive and not self.peer_replies_lost else 0
 
     async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
-        """Entry to entry: what is known of a row, which may be lost like a gift."""
+        """Model a row query between entries; its reply may be lost."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
         if not other.up or self.peer_replies_lost:
@@ -304,10 +305,10 @@
         return other.gateway.share_sync.budgets.guard.known(me)
 
     async def close(self) -> None:
-        """Gifts need no connections here."""
+        """Do nothing: the model has no connections."""
 
     def run_in_background(self, coro) -> None:
-        """Run a task until the end."""
+        """Start a task that runs until it ends or the fleet does."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
 
@@ -323,20 +324,19 @@
         gateway = instance.gateway
         if not instance.serves or instance.closed or gateway.routing_table is None:
             return
-        reserving = gateway.share_sync.reservations.reserve(
-            ACCOUNT, tokens, urgent=False
-        )
-        held = await on_instance(instance.clock, reserving)
-        if held is None or not instance.up or instance.gateway is not gateway:
+        reserve = gateway.share_sync.reservations.reserve(ACCOUNT, tokens, urgent=False)
+        reservation = await on_instance(instance.clock, reserve)
+        if reservation is None or not instance.up or instance.gateway is not gateway:
             return
         self.running += tokens
         await asyncio.sleep(takes_s)
         self.running -= tokens
-        # Killed meanwhile, it has delivered what it has, and told nobody.
+        # A process that was killed meanwhile has delivered these tokens without
+        # publishing them.
         self.used += used
-        gateway.share_sync.budgets.commit(held, used, instance.now_s())
+        gateway.share_sync.budgets.commit(reservation, used, instance.now_s())
 
-    def _operator_writes(self, version: int) -> None:
+    def _write_config(self, version: int) -> None:
         self.log.put(CONFIG_TOPIC, CONFIG_KEY, config(version, prepaid=TOTAL))
         self.confirmed_s[version] = asyncio.get_running_loop().time()
 
@@ -361,8 +361,8 @@
                 if not replica.gone and not self.log.unavailable:
                     self._heartbeat(name)
 
-    def _unknown(self, instance: Instance) -> int:
-        """What it may spend that the log does not tell, since it came back."""
+    def _unpublished_tokens(self, instance: Instance) -> int:
+        """Tokens that an entry may spend but that its row on the restored log lacks."""
         newest = self.log.topic(ENTRIES_TOPIC).newest().get(instance.entry_id)
         claimed = 0
         if newest is not None:
@@ -376,8 +376,8 @@
     def _serves(replica: Replica) -> bool:
         return not replica.draining and not replica.gone
 
-    def _read_of(self, instance: Instance) -> dict[str, int]:
-        """The number of the last record that was read of each endpoint."""
+    def _last_sequences(self, instance: Instance) -> dict[str, int]:
+        """Number of the last record read of each endpoint."""
         known = instance.gateway.endpoints._endpoints
         return {i: e.registration.sequence for i, e in known.items()}
 
--- a/tests/restored_instance.py
+++ b/tests/restored_instance.py
@@ -1,4 +1,4 @@
-"""One instance in modelled time, and the whole entry process on it."""
+"""One instance in virtual time with a complete entry process."""
 
 import asyncio
 import random
@@ -15,21 +15,21 @@
 from tests.restored_log import RestoredLog, RestoredStore
 
 ACCOUNT = AccountId("t")
-UNAWARE_S = 3.0
-"""How long after all was written again a start of before knows it: a view of two
-seconds, and a read."""
+STALE_VIEW_S = 3.0
+"""Time from republication until a process that started before it knows all records: a
+view that is valid for two seconds, and a read."""
 
 
 class Instance:
     """One instance, its clock and the entry process on it.
 
-    :param peer_client: asks the other entries for tokens.
-    :param reports_era: whether the log's answers tell their era.
+    :param peer_client: models requests to the other entries.
+    :param reports_era: whether the log's answers report their era.
     :ivar may_deny_stale_until_s: until when the process may refuse by what it read
         from the backup: it started after the restore and before all was republished.
-    :ivar closed: its planned stop takes no more requests.
-    :ivar departed: endpoints that this process read to have left, and the number of the
-        last record that it had read of each.
+    :ivar closed: whether its planned stop accepts no more requests.
+    :ivar departed: endpoints that this process knows to have left, and the number of
+        the last record that it had read of each.
     """
 
     def __init__(
@@ -58,11 +58,11 @@
 
     @property
     def entry_id(self) -> EntryId:
-        """Its name on the log."""
+        """Key of its row on the log."""
         return EntryId(f"e{self.number}@127.0.0.1")
 
     def start(self) -> None:
-        """Start its process."""
+        """Start the process."""
 
         def make_store(_: str, eras: EraWatch) -> RestoredStore:
             self.store = RestoredStore(self._log, eras, self._rng, self._reports_era)
@@ -109,12 +109,14 @@
         ]
 
     async def take_over(self) -> None:
-        """Wait until its process serves."""
+        """Wait until the process has taken over its row."""
         while not self.gateway.share_sync.started:
             await asyncio.sleep(0.01)
         rewritten_s = self._log.rewritten_s
-        unaware = rewritten_s >= self._started_s
-        self.may_deny_stale_until_s = rewritten_s + UNAWARE_S if unaware else 0.0
+        started_before_republication = rewritten_s >= self._started_s
+        self.may_deny_stale_until_s = (
+            rewritten_s + STALE_VIEW_S if started_before_republication else 0.0
+        )
 
     @staticmethod
     async def _follow(tail, interval_s: float) -> None:
@@ -122,7 +124,7 @@
         await tail.follow(interval_s)
 
     def end(self) -> None:
-        """End its process at once."""
+        """Kill the process."""
         if self.up:
             self.check_tasks()
         self.up = False
@@ -130,26 +132,26 @@
             task.cancel()
 
     def check_tasks(self) -> None:
-        """See that all of its tasks run."""
+        """Assert that all tasks of the process run, unless it is fenced."""
         for task in self._tasks:
             assert not task.done() or self.fenced, task
 
     @property
     def fenced(self) -> bool:
-        """Whether its process ends since another start seems to write its row."""
-        keeping = self._tasks[0]
-        ended = keeping.done() and not keeping.cancelled()
-        return ended and isinstance(keeping.exception(), FencedError)
+        """Whether the process ended because it found itself fenced off."""
+        sync_task = self._tasks[0]
+        ended = sync_task.done() and not sync_task.cancelled()
+        return ended and isinstance(sync_task.exception(), FencedError)
 
     @property
     def serves(self) -> bool:
-        """Whether its process is up and has taken over."""
+        """Whether the process is up and has taken over its row."""
         return self.up and self.gateway.share_sync.started and not self.fenced
 
     def now_s(self) -> float:
-        """Its steady clock."""
+        """Monotonic clock of the instance."""
         return asyncio.get_running_loop().time() + self.clock.steady_ahead_s
 
     def share(self):
-        """Its part of the account."""
+        """Its share of the account."""
         return self.gateway.share_sync.budgets._share(ACCOUNT)
--- a/tests/restored_log.py
+++ b/tests/restored_log.py
@@ -1,5 +1,5 @@
-"""A reference model of the platform's log in modelled time: eras, compaction, answers
-that are lost or late, writes that land late."""
+"""Reference model of the platform's log in virtual time: eras, compaction, answers that
+are lost or late, writes that take effect late."""
 
 import asyncio
 import copy
@@ -19,7 +19,7 @@
 )
 
 BACKUP_INTERVAL_S = 0.25
-"""How far apart the copies are that the log may come back from."""
+"""Interval between the backups that the log may be restored from."""
 MAX_BACKUPS = 24
 
 
@@ -27,7 +27,7 @@
 class Topic:
     """One keyed topic.
 
-    :ivar first: the first offset that can still be read.
+    :ivar first: lowest offset that can still be read.
     """
 
     records: list[tuple[str, bytes]] = attrs.field(factory=list)
@@ -41,11 +41,13 @@
 
 
 class RestoredLog:
-    """The log, and copies of it to come back from.
+    """The log and its backups.
 
-    :ivar unavailable: no call is answered or takes effect.
-    :ivar era: rises each time.
-    :ivar confirmed: what the platform wrote: topic, key, value.
+    :ivar unavailable: whether calls are neither answered nor executed.
+    :ivar era: rises with each restore.
+    :ivar confirmed: newest value that the platform wrote, by topic and key.
+    :ivar returned_s: time of the last restore.
+    :ivar rewritten_s: time when the records lost by it were written again.
     """
 
     def __init__(self) -> None:
@@ -54,11 +56,10 @@
         self.era = 1
         self.confirmed: dict[tuple[str, str], bytes] = {}
         self._backups: list[dict[str, Topic]] = []
-        # When it was back, and when all was written again.
         self.returned_s = self.rewritten_s = float("-inf")
 
     def topic(self, name: str) -> Topic:
-        """The topic ``name``, made on first use."""
+        """The topic ``name``, created on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, name: str, key: str, value: bytes) -> None:
@@ -72,7 +73,7 @@
             topic.first = len(topic.records)
 
     async def take_backups(self) -> None:
-        """Make copies for ever."""
+        """Take backups until cancelled."""
         while True:
             if not self.unavailable:
                 self._backups.append(copy.deepcopy(self.topics))
@@ -82,13 +83,13 @@
     async def restore(
         self, away_s: float, copies_ago: int, written_again_s: float
     ) -> None:
-        """Be away, come back from a copy, and have what the platform wrote since
-        written again ``written_again_s`` later."""
+        """Be unavailable for ``away_s``, restore a backup, and write again what the
+        platform wrote since, ``written_again_s`` later."""
         loop = asyncio.get_running_loop()
         self.unavailable = True
         await asyncio.sleep(away_s)
-        older = self._backups[-min(copies_ago, len(self._backups))]
-        self.topics = copy.deepcopy(older)
+        backup = self._backups[-min(copies_ago, len(self._backups))]
+        self.topics = copy.deepcopy(backup)
         self.era += 1
         self.unavailable = False
         self.returned_s = loop.time()
@@ -101,8 +102,8 @@
     def append(
         self, name: str, key: str, value: bytes, writer: Writer
     ) -> Result[int, StoreError]:
-        """Append one record in the order of its writer's numbers; without a value, set
-        the writer's epoch."""
+        """Append one record in the sequence of its writer; an empty value sets the
+        writer's epoch instead."""
         topic = self.topic(name)
         epoch, expected = topic.producers.get(writer.name, (0, 0))
         if writer.epoch < epoch:
@@ -123,13 +124,13 @@
 
 
 class RestoredStore:
-    """What the store's client offers, for one entry.
+    """Model of one entry's store client, with faults.
 
-    :param reports_era: whether answers tell their era.
-    :ivar cut: nothing gets through, either way.
-    :ivar lost_share: share of the calls that are done and not answered.
-    :ivar late_s: how much longer a call may take until it is done.
-    :ivar slow_s: how much longer an answer may be on its way.
+    :param reports_era: whether answers report their era.
+    :ivar cut: whether a network partition drops calls and answers.
+    :ivar lost_share: share of calls that are executed but not answered.
+    :ivar late_s: longest additional delay before a call is executed.
+    :ivar slow_s: longest additional delay of an answer.
     """
 
     def __init__(
@@ -143,19 +144,19 @@
         self._eras = eras
         self._rng = rng
         self._reports_era = reports_era
-        self._late: set[asyncio.Task[None]] = set()
+        self._in_flight: set[asyncio.Task[None]] = set()
 
     async def newest(self, topic: str) -> Result[Batch, StoreError]:
         """The newest record of each key."""
 
-        def look() -> Result[Batch, StoreError]:
+        def query() -> Result[Batch, StoreError]:
             found = self._log.topic(topic)
             newest = sorted((i, k, v) for k, (i, v) in found.newest().items() if v)
             records = tuple(KeyedRecord(i, k, v) for i, k, v in newest)
             end = len(found.records)
             return Success(Batch(records, end, end, self._era()))
 
-        return await self._call(look)
+        return await self._call(query)
 
     async def read(
         self,
@@ -166,7 +167,7 @@
     ) -> Result[Batch, StoreError]:
         """Records from ``offset`` on."""
 
-        def look() -> Result[Batch, StoreError]:
+        def query() -> Result[Batch, StoreError]:
             found = self._log.topic(topic)
             if not found.first <= offset <= len(found.records):
                 return Failure(StoreError(StoreErrorKind.TRIMMED, "410"))
@@ -175,7 +176,7 @@
             end = len(found.records)
             return Success(Batch(records, end, end, self._era()))
 
-        return await self._call(look)
+        return await self._call(query)
 
     async def end(self, topic: str, last_key: str) -> Result[int, StoreError]:
         """The offset behind the last record."""
@@ -184,28 +185,29 @@
     async def append(
         self, topic: str, key: str, value: bytes, writer: Writer
     ) -> Result[int, StoreError]:
-        """Append one record; its offset."""
+        """Append one record; returns its offset."""
         return await self._call(lambda: self._log.append(topic, key, value, writer))
 
     async def set_epoch(self, topic: str, writer: Writer) -> Result[None, StoreError]:
-        """Fence off earlier starts."""
+        """Fence off lower epochs of the writer."""
         result = await self.append(topic, writer.name, b"", writer)
         return result.map(lambda _: None)
 
     async def close(self) -> None:
-        """There is nothing to close."""
+        """Do nothing: the model has no connections."""
 
     def _era(self) -> Era | None:
         return Era(self._log.era) if self._reports_era else None
 
-    async def _call(self, do):
-        """Have ``do`` done, and its answer brought with the era it was made in."""
+    async def _call(self, operation):
+        """Execute ``operation`` and return its result, checked against the era in which
+        it was executed."""
         asked_at = self._eras.changes
         answered = asyncio.get_running_loop().create_future()
-        # It is done even if its caller has given up by then.
-        task = asyncio.create_task(self._do(do, answered))
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        # The operation is executed even if the caller has timed out by then.
+        task = asyncio.create_task(self._execute(operation, answered))
+        self._in_flight.add(task)
+        task.add_done_callback(self._in_flight.discard)
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 result, era = await answered
@@ -215,13 +217,13 @@
             return Failure(StoreError(StoreErrorKind.OLDER_ERA, f"era {era}"))
         return result
 
-    async def _do(self, do, answered) -> None:
+    async def _execute(self, operation, answered) -> None:
         if self.cut:
             return
         await asyncio.sleep(0.002 + self._rng.random() * self.late_s)
         if self._log.unavailable:
             return
-        result, era = do(), self._era()
+        result, era = operation(), self._era()
         if self._rng.random() < self.lost_share:
             return
         await asyncio.sleep(0.002 + self._rng.random() * self.slow_s)
