--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways in this process before a stand-in log and scripted endpoints."""
+"""In-process gateways with a stand-in log and scripted endpoints."""
 
 import asyncio
 import json
@@ -34,13 +34,13 @@
 Script = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-# Below the ports that connections of other processes take by themselves.
+# Below the ephemeral ports of other processes' connections.
 _PORTS = range(12_000, 32_000)
 _rng = random.Random()
 
 
 def free_port() -> int:
-    """A port of the loopback address that nobody listens on, for TCP and UDP."""
+    """Find a loopback port that is free for TCP and UDP."""
     while True:
         port = _rng.choice(_PORTS)
         try:
@@ -55,7 +55,7 @@
 async def make_store_client(
     test: unittest.IsolatedAsyncioTestCase, log: KeyedLog
 ) -> StoreClient:
-    """A client of ``log``, which is served until ``test`` ends."""
+    """Serve ``log`` until ``test`` ends and return a client of it."""
     runner = web.AppRunner(log.make_app(), shutdown_timeout=0.1)
     await runner.setup()
     test.addAsyncCleanup(runner.cleanup)
@@ -72,9 +72,9 @@
     idle_routes: int = 0,
     **route: object,
 ) -> bytes:
-    """A configuration with a plain, a once-only and a stream route.
+    """A configuration with plain, once-only, stream and resumable stream routes.
 
-    :param idle_routes: further routes that nobody asks for.
+    :param idle_routes: number of further routes, which get no requests.
     """
 
     def make(prefix: str, kind: str, **more: object) -> dict[str, object]:
@@ -112,7 +112,7 @@
 
 
 class Endpoint:
-    """A back end that runs ``script`` and remembers what reached it."""
+    """An endpoint that answers with ``script`` and records its requests."""
 
     def __init__(self, name: str, script: Script) -> None:
         self.name = name
@@ -151,11 +151,11 @@
 
 
 class Fleet:
-    """A log, endpoints and gateways, on loopback ports of their own.
+    """A log, endpoints and gateways on their own loopback ports.
 
-    :param config: what is in force when the gateways start.
-    :param link_bytes_per_s: how fast answers of the log arrive; 0 for at once.
-    :param ready_within_s: how long the gateways may take to start.
+    :param config: configuration in force when the gateways start.
+    :param link_bytes_per_s: rate at which answers of the log arrive; 0 for no limit.
+    :param ready_within_s: time limit for the start of the gateways.
     """
 
     def __init__(
@@ -206,7 +206,7 @@
         return all(gateway.ready for gateway in self.gateways)
 
     async def add_gateway(self) -> None:
-        """Start one more and wait until it serves."""
+        """Start another gateway and wait until it is ready."""
         self._start_gateway(len(self.gateways))
         await self.wait_until(self._all_ready, self.ready_within_s)
 
@@ -247,18 +247,18 @@
         return all(task.done() for task in self._tasks)
 
     def newest_row(self, entry: str) -> Member:
-        """The row of a gateway on the log."""
+        """Newest row of a gateway on the log."""
         key = f"{entry}@127.0.0.1"
         _, raw = self.log.topic(ENTRIES_TOPIC).newest()[key]
         return decode_member(key, raw)
 
     async def wait_until(
-        self, holds: Callable[[], bool], within_s: float = 8.0
+        self, condition: Callable[[], bool], within_s: float = 8.0
     ) -> None:
-        ends_s = time.monotonic() + within_s
-        while not holds():
-            if time.monotonic() > ends_s:
-                raise AssertionError("it did not come to hold")
+        deadline_s = time.monotonic() + within_s
+        while not condition():
+            if time.monotonic() > deadline_s:
+                raise AssertionError(f"condition not met within {within_s} s")
             await asyncio.sleep(0.01)
 
     async def ask(
@@ -270,7 +270,7 @@
         body: bytes = b"body",
         **headers: str,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Send one request; status, headers and body."""
+        """Send one request; returns status, headers and body."""
         address = self.gateways[gateway].settings.front_address
         async with self.http.request(
             method,
--- a/tests/restored_site.py
+++ b/tests/restored_site.py
@@ -1,7 +1,8 @@
-"""Gateways as processes before a stand-in log that comes back from older copies.
+"""Gateway processes with a stand-in log that is restored from older backups.
 
-The operator and the endpoints write just before each return, so that the copy lacks
-it; callers keep connections open, and probes ask each gateway what is in force.
+The operator and the endpoints write just before each restore, so that the backup lacks
+their records. Callers keep connections open, and probes ask each gateway which
+configuration is in force.
 """
 
 import asyncio
@@ -24,19 +25,19 @@
 
 INPUT_TOKENS, OUTPUT_TOKENS = 2_000, 5
 LAST_BYTES = (b"done", b"data: t%d\n\n" % OUTPUT_TOKENS)
-COPY_BEFORE_S = 2.0
+BACKUP_BEFORE_S = 2.0
 WROTE_BEFORE_S = 1.5
-"""What is written then is lost with the copy."""
-AWAY_S = 0.5
+"""Time from the writes until the log becomes unavailable; the backup lacks them."""
+UNAVAILABLE_S = 0.5
 PROBE_S = 0.15
 LEAVING_KNOWN_S = 1.2
-"""Time in which all gateways read that an endpoint leaves."""
-STOP_MOST_S = 8.0
+"""Time within which all gateways read that an endpoint leaves."""
+MAX_STOP_S = 8.0
 """The gateways' grace time."""
 
 
 async def answer(request: web.BaseRequest) -> web.StreamResponse:
-    """A stream where one is asked for, else a plain answer."""
+    """Answer with a stream on a stream route, else with a plain body."""
     headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"], **SEAL_HEADERS}
     if not request.path.startswith("/stream/"):
         await asyncio.sleep(0.03)
@@ -52,11 +53,11 @@
 
 @attrs.define
 class Outcomes:
-    """What callers and probes saw.
+    """Outcomes of the callers' requests.
 
-    :ivar whole: ids of requests with a whole good answer.
-    :ivar lost: ids of those that ended with no answer or half of one.
-    :ivar refused: how often callers got each status of a refusal.
+    :ivar whole: ids of requests that were answered completely.
+    :ivar lost: ids of requests without a complete answer or refusal, with the cause.
+    :ivar refused: number of refusals by status.
     """
 
     whole: set[str] = attrs.field(factory=set)
@@ -67,8 +68,8 @@
 class RestoredSite:
     """Gateways, endpoints, callers and a log.
 
-    :param count: how many gateways.
-    :param total_tokens: what the paid account may spend.
+    :param count: number of gateways.
+    :param total_tokens: prepaid total of the paid account.
     """
 
     def __init__(self, count: int, total_tokens: int, seed: int) -> None:
@@ -116,8 +117,9 @@
         await self._stack.aclose()
 
     def _trace(self, request_id: str) -> str:
-        """What tells whether a lost request crossed the close of its connection: when
-        it was sent, whether an endpoint got it, and what its gateway wrote."""
+        """Describe a lost request, to show whether it was sent while its connection was
+        being closed: when it was sent, which endpoints received it, and the gateway's
+        log lines."""
         ip, asked_s = self._asked_s[request_id]
         stopped_s = self._stopped_s.get(ip)
         after_s = None if stopped_s is None else round(asked_s - stopped_s, 4)
@@ -127,16 +129,16 @@
             if any(r.headers["X-Attempt-Id"] == request_id for r in e.seen)
         ]
         (gateway,) = (g for g in self.gateways if g.ip == ip)
-        told = ("stop_stage", "process_st", f'"{request_id}"')
+        markers = ("stop_stage", "process_st", f'"{request_id}"')
         lines = gateway.log_path.read_text(errors="replace").splitlines()
-        wrote = [line for line in lines if any(word in line for word in told)]
+        log_lines = [line for line in lines if any(word in line for word in markers)]
         sent = f"{request_id} to {ip}, {after_s} s after its SIGTERM"
-        return "\n".join([f"{sent}, reached {reached}", *wrote])
+        return "\n".join([f"{sent}, reached {reached}", *log_lines])
 
     def run_in_background(
         self, coro: Coroutine[Any, Any, None]
     ) -> "asyncio.Task[None]":
-        """Run ``coro`` until it ends or the site does."""
+        """Start ``coro`` as a task that runs until it ends or the site does."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
         return task
@@ -147,24 +149,26 @@
         record = endpoint.registration(sequence=self._sequence, slots=50, **fields)
         self.log.put(ENDPOINTS_TOPIC, endpoint.name, record)
 
-    # -- what happens -------------------------------------------------------
+    # -- events -------------------------------------------------------------
 
-    async def change_and_restore(self, k: int, written_again_s: float) -> None:
-        """Change the configuration, have one endpoint say that it leaves and another
-        one gone, and bring the log back from a copy that has none of it."""
-        older = self.log.copy()
-        await asyncio.sleep(COPY_BEFORE_S - WROTE_BEFORE_S)
+    async def change_and_restore(
+        self, round_number: int, written_again_s: float
+    ) -> None:
+        """Change the configuration, have one endpoint announce that it leaves, remove
+        another one, and restore the log from a backup that lacks all of this."""
+        backup = self.log.copy()
+        await asyncio.sleep(BACKUP_BEFORE_S - WROTE_BEFORE_S)
         self.operator.write()
-        draining, gone = self.endpoints[2 * k : 2 * k + 2]
+        draining, gone = self.endpoints[2 * round_number : 2 * round_number + 2]
         self.register(draining, state="draining")
         self.log.put(ENDPOINTS_TOPIC, gone.name, b"")
         await asyncio.sleep(LEAVING_KNOWN_S)
         self.left_at |= {e.name: len(e.seen) for e in (draining, gone)}
         await asyncio.sleep(WROTE_BEFORE_S - LEAVING_KNOWN_S)
-        await self.log.restore_after(older, AWAY_S, written_again_s)
+        await self.log.restore_after(backup, UNAVAILABLE_S, written_again_s)
 
     async def roll(self, gateways: list[GatewayProcess], apart_s: float) -> None:
-        """Stop gateways one after the other and start each again."""
+        """Do a rolling restart of ``gateways``."""
         stops = []
         for gateway in gateways:
             gateway.signal(signal.SIGTERM)
@@ -174,13 +178,13 @@
         await asyncio.gather(*stops)
 
     async def _start_again(self, gateway: GatewayProcess) -> None:
-        self.exits.append(await gateway.ended(STOP_MOST_S))
+        self.exits.append(await gateway.ended(MAX_STOP_S))
         await gateway.start()
 
     # -- callers ------------------------------------------------------------
 
     def send_load(self, connections_each: int, pause_s: float) -> None:
-        """Have callers with open connections send until the site ends."""
+        """Start callers with persistent connections, and one probe per gateway."""
         for gateway in self.gateways:
             for _ in range(connections_each):
                 self.run_in_background(self._caller(gateway, pause_s))
@@ -188,7 +192,7 @@
             self.run_in_background(self._probe(self.probes[-1]))
 
     def stop_load(self) -> None:
-        """Have callers and probes end what they do and send no more."""
+        """Let callers and probes finish their requests and send no more."""
         self._sending = False
 
     async def _probe(self, probe: VersionProbe) -> None:
@@ -208,7 +212,8 @@
     async def _request(
         self, http: aiohttp.ClientSession, gateway: GatewayProcess, request_id: str
     ) -> None:
-        """One request, again elsewhere after a promise that it did not run."""
+        """Send one request; retry it at another gateway after a refusal that promises
+        that it did not run."""
         paid = self.rng.random() < 0.6
         path, key = ("/stream/x", PAID_KEY) if paid else ("/once/x", "free")
         for _ in range(3):
@@ -226,7 +231,7 @@
         key: str,
         request_id: str,
     ) -> int | None:
-        """Ask once; the status, or 503 if no connection was made."""
+        """Send once; returns the status, or 503 if no connection was made."""
         headers = {
             "Host": HOST,
             "X-Attempt-Id": request_id,
@@ -238,19 +243,21 @@
         url = f"http://{gateway.front_address}{path}"
         self._asked_s[request_id] = (gateway.ip, time.monotonic())
         try:
-            async with http.post(url, data=b"x", headers=headers) as got:
-                body = await got.read()
+            async with http.post(url, data=b"x", headers=headers) as response:
+                body = await response.read()
         except aiohttp.ClientConnectorError:
             return 503
         except (aiohttp.ClientError, TimeoutError) as exc:
             self.seen.lost[request_id] = f"{type(exc).__name__} at {gateway.ip}"
             return None
-        if got.status == 200 and body.endswith(LAST_BYTES):
+        if response.status == 200 and body.endswith(LAST_BYTES):
             self.seen.whole.add(request_id)
-        elif got.status == 200:
-            self.seen.lost[request_id] = f"half an answer at {gateway.ip}"
-        elif got.status in (429, 503, 402):
-            self.seen.refused[got.status] = self.seen.refused.get(got.status, 0) + 1
+        elif response.status == 200:
+            self.seen.lost[request_id] = f"incomplete answer at {gateway.ip}"
+        elif response.status in (429, 503, 402):
+            self.seen.refused[response.status] = (
+                self.seen.refused.get(response.status, 0) + 1
+            )
         else:
-            self.seen.lost[request_id] = f"{got.status} at {gateway.ip}"
-        return got.status
+            self.seen.lost[request_id] = f"{response.status} at {gateway.ip}"
+        return response.status
--- a/tests/version_probe.py
+++ b/tests/version_probe.py
@@ -1,4 +1,4 @@
-"""An operator who changes the configuration, and probes of what is in force."""
+"""An operator who changes the configuration, and probes of the version in force."""
 
 import json
 import time
@@ -11,13 +11,13 @@
 from tests.keyed_log import KeyedLog
 
 PAID_KEY = "paid"
-"""Of the account whose total all gateways share; other keys have none."""
+"""API key of the only prepaid account; all gateways share its total."""
 DEADLINE_MS = "15000"
 
 
 class Operator:
-    """The configuration as its owner changes it: each version adds a route and a key,
-    and removes those of the version before."""
+    """Writes the configuration: each version adds a route and an API key and removes
+    those of the previous version."""
 
     def __init__(self, log: KeyedLog, total_tokens: int) -> None:
         self.version = 0
@@ -60,10 +60,10 @@
 
 
 class VersionProbe:
-    """Asks one gateway what is in force: once a version is, never an older one.
+    """Checks that a gateway which served a version never serves an older one.
 
-    :ivar in_force: the newest version that the gateway has served.
-    :ivar wrong: what it answered by an older one after that.
+    :ivar in_force: newest version that the gateway has served.
+    :ivar wrong: descriptions of later answers by an older version.
     """
 
     def __init__(self, gateway: GatewayProcess, operator: Operator) -> None:
@@ -74,13 +74,13 @@
         self._asked = 0
 
     async def ask(self, http: aiohttp.ClientSession) -> None:
-        """Ask by what the newest version added, and by what it removed."""
+        """Send requests by what the newest version added and removed."""
         version = self._operator.version
 
         async def status(path: str, key: str = "free") -> int | None:
-            got = await self._status(http, path, key)
-            # What the version asked about says no longer holds under a later one.
-            return got if version == self._operator.version else None
+            status_code = await self._status(http, path, key)
+            # An answer says nothing if a later version was written meanwhile.
+            return status_code if version == self._operator.version else None
 
         added = await status(f"/route-{version}/x")
         if added == 200:
@@ -88,16 +88,16 @@
         if self.in_force < version:
             return
         if added == 404:
-            self._note(f"route-{version} is unknown again")
+            self._record_wrong(f"route-{version} is unknown again")
         if await status(f"/route-{version - 1}/x") == 200:
-            self._note(f"route-{version - 1} is served again")
+            self._record_wrong(f"route-{version - 1} is served again")
         if await status("/keyed/x", f"key-{version}") == 401:
-            self._note(f"key-{version} is unknown again")
+            self._record_wrong(f"key-{version} is unknown again")
         if await status("/keyed/x", f"key-{version - 1}") == 200:
-            self._note(f"key-{version - 1} is good again")
+            self._record_wrong(f"key-{version - 1} is accepted again")
 
-    def _note(self, what: str) -> None:
-        self.wrong.append(f"{time.monotonic():.2f} {self._gateway.ip} {what}")
+    def _record_wrong(self, description: str) -> None:
+        self.wrong.append(f"{time.monotonic():.2f} {self._gateway.ip} {description}")
 
     async def _status(
         self, http: aiohttp.ClientSession, path: str, key: str
@@ -111,8 +111,8 @@
         }
         url = f"http://{self._gateway.front_address}{path}"
         try:
-            async with http.post(url, data=b"", headers=headers) as got:
-                await got.read()
-                return got.status
+            async with http.post(url, data=b"", headers=headers) as response:
+                await response.read()
+                return response.status
         except (aiohttp.ClientError, TimeoutError):
             return None
