--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -1,4 +1,8 @@
-"""Finds the tokens for a request: in hand, by the next row, or from another entry."""
+"""Finds the tokens for a request.
+
+They are immediately spendable here, become so with this entry's next row, or are
+transferred by another entry.
+"""
 
 import asyncio
 import math
@@ -103,8 +107,8 @@
     async def transfer(self, account: AccountId, tokens: int) -> int:
         """Transfer up to ``tokens`` to another entry; returns how many.
 
-        Only a small part of the claim is in hand. While the log answers, a row frees
-        more of it, which the requesting entry could get from no other entry.
+        Only a small part of the claim is immediately spendable. While the log answers,
+        a row frees more of it, which the requesting entry could get nowhere else.
         """
         now_s = time.monotonic()
         short = self._budgets.givable_tokens(account, now_s) < tokens
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -211,10 +211,10 @@
         if era is None or (last is not None and last.era in (None, era)):
             return
         others = self.members.live(time.monotonic())[:MAX_RECALL_PEERS]
-        asked = (
+        queries = (
             self._peer_client.fetch_row(m.peer_address, self._entry_id) for m in others
         )
-        for row in await asyncio.gather(*asked):
+        for row in await asyncio.gather(*queries):
             self.budgets.recall(row)
 
     def _plan(self, parts: float, now_s: float) -> bool:
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -258,7 +258,7 @@
         deadline_s = time.monotonic() + within_s
         while not condition():
             if time.monotonic() > deadline_s:
-                raise AssertionError(f"condition not met within {within_s} s")
+                raise AssertionError("the condition was not met in time")
             await asyncio.sleep(0.01)
 
     async def ask(
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -155,8 +155,8 @@
         While the log is unreachable, old rows stay valid. The six entries that held
         most were asked first and transferred everything; every later request asked
         the same six again and never the others, as depleted entries were not cached.
-        One request for 2949 tokens was refused (tokens_elsewhere) with 460 in hand,
-        8.6 s after the last read of the rows.
+        One request for 2949 tokens was refused (tokens_elsewhere) with 460 immediately
+        spendable, 8.6 s after the last read of the rows.
         """
         entries = 12
         peers = _FinitePeers({f"p{i}": 1_000 for i in range(entries)})
