--- a/bench/rows_bench.py
+++ b/bench/rows_bench.py
@@ -10,16 +10,18 @@
 from collections.abc import Callable
 
 from celerytrack.ids import AccountId, EntryId, Zone
-from celerytrack.members import Member, MemberState, MemberView
+from celerytrack.members import Member, MembershipView, MemberState
 from celerytrack.platform.rows import decode_member, encode_member
-from celerytrack.prepaid import PrepaidBook, Row
+from celerytrack.prepaid import AccountClaim, PrepaidBudgets
 
 TOTAL_TOKENS = 10_000_000
 ROUNDS = 10
 
 
 def _row(entry: int, made_s: float, accounts: list[AccountId]) -> bytes:
-    shares = {a: Row(10_000, 900, 500 + int(made_s), 0, 0, 50, 50) for a in accounts}
+    shares = {
+        a: AccountClaim(10_000, 900, 500 + int(made_s), 0, 0, 50, 50) for a in accounts
+    }
     member = Member(
         entry_id=EntryId(f"e{entry}"),
         epoch=1,
@@ -43,7 +45,7 @@
 def measure(entries: int, account_count: int) -> dict[str, float]:
     """The figures of one size of fleet."""
     accounts = [AccountId(f"account{i:02}") for i in range(account_count)]
-    book, view = PrepaidBook(EntryId("me")), MemberView(EntryId("me"))
+    book, view = PrepaidBudgets(EntryId("me")), MembershipView(EntryId("me"))
     book.set_totals(dict.fromkeys(accounts, TOTAL_TOKENS))
     book.adopt(None)
     rows = [_row(i % entries, float(i), accounts) for i in range(ROUNDS * entries)]
@@ -56,9 +58,9 @@
 
     def write() -> None:
         book.plan(entries, 1.0)
-        row = book.next_row(1.0)
+        row = book.make_row(1.0)
         book.fold(EntryId("me"), row)
-        book.row_folded()
+        book.confirm_row()
 
     return {
         "read_us": _each_us(1, read) / len(rows),
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -3,15 +3,15 @@
 import logging
 import time
 
-from celerytrack.clocks import (
-    age_at_power_s,
-    age_at_start_s,
-    age_beside_others_s,
-)
 from celerytrack.eras import Era
 from celerytrack.events import Event, log_event
-from celerytrack.members import Member, MemberView
-from celerytrack.prepaid import PrepaidBook
+from celerytrack.members import Member, MembershipView
+from celerytrack.prepaid import PrepaidBudgets
+from celerytrack.row_age import (
+    age_after_power_loss_s,
+    age_at_start_s,
+    age_by_peer_clocks_s,
+)
 
 _log = logging.getLogger(__name__)
 
@@ -51,7 +51,7 @@
         return age_s
 
     def resolve_age(
-        self, own_row: Member, members: MemberView, budgets: PrepaidBook
+        self, own_row: Member, members: MembershipView, budgets: PrepaidBudgets
     ) -> None:
         """Determine an age that is still unknown and free what the adopted claim
         cannot have spent.
@@ -66,18 +66,18 @@
             return
         rows = members.members()
         others = [row for entry, row in rows.items() if entry != members.me]
-        age_s = age_at_power_s(previous, own_row, others)
+        age_s = age_after_power_loss_s(previous, own_row, others)
         if age_s is None:
             lead_s = members.prompt_clock_lead_s(clock_offset_s())
-            age_s = age_beside_others_s(previous, own_row, lead_s)
+            age_s = age_by_peer_clocks_s(previous, own_row, lead_s)
         if age_s is not None:
-            budgets.free_beyond(previous.shares, age_s)
+            budgets.free_adopted(previous.shares, age_s)
             log_event(
                 _log,
                 Event.SHARES_FREED,
                 age_s=age_s,
                 others=len(others),
-                lost=budgets.lost(),
+                lost=budgets.lost_tokens(),
             )
         elif time.monotonic() - self._started_s < RESOLVE_AGE_TIMEOUT_S:
             return
--- a/src/celerytrack/gateway/peer_requests.py
+++ b/src/celerytrack/gateway/peer_requests.py
@@ -16,7 +16,7 @@
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.patient_http import patient_session
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 from celerytrack.strict import (
     UnreadableError,
     parse_json,
@@ -110,7 +110,7 @@
 
     async def fetch_row(
         self, address: str, entry_id: EntryId
-    ) -> Mapping[AccountId, Row]:
+    ) -> Mapping[AccountId, AccountClaim]:
         """Fetch the row of ``entry_id`` as the entry at ``address`` knows it; empty if
         that one does not answer."""
         try:
@@ -132,7 +132,7 @@
 
 
 TransferTokens = Callable[[AccountId, int], Awaitable[int]]
-RowLookup = Callable[[EntryId], Mapping[AccountId, Row]]
+RowLookup = Callable[[EntryId], Mapping[AccountId, AccountClaim]]
 
 
 def handle_row_query(lookup_row: RowLookup, request: web.BaseRequest) -> web.Response:
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -13,8 +13,8 @@
 
 from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.ids import AccountId, EntryId
-from celerytrack.members import MemberView
-from celerytrack.prepaid import PrepaidBook, Reservation
+from celerytrack.members import MembershipView
+from celerytrack.prepaid import PrepaidBudgets, Reservation
 
 MAX_TOKEN_WAIT_S = 0.35
 """Longest wait of a request for tokens. A slow store completes a row within it; with a
@@ -65,8 +65,8 @@
 
     def __init__(
         self,
-        budgets: PrepaidBook,
-        members: MemberView,
+        budgets: PrepaidBudgets,
+        members: MembershipView,
         peer_client: PeerClient,
         rows: RowTask,
     ) -> None:
@@ -91,9 +91,9 @@
         while True:
             now_s = time.monotonic()
             reservation = self._budgets.reserve(account, tokens, now_s, urgent)
-            if reservation is not None or self._budgets.exhausted(account, tokens):
+            if reservation is not None or self._budgets.is_exhausted(account, tokens):
                 return reservation
-            may_claim = self._budgets.may_claim(account, tokens, urgent)
+            may_claim = self._budgets.can_claim(account, tokens, urgent)
             max_row_wait_s = self._rows.max_row_wait_s
             left_s = started_s + _wait_limit_s(may_claim, asked, max_row_wait_s) - now_s
             if left_s > 0 and self._rows.can_write_soon(now_s):
@@ -111,24 +111,26 @@
         a row frees more of it, which the requesting entry could get nowhere else.
         """
         now_s = time.monotonic()
-        short = self._budgets.givable_tokens(account, now_s) < tokens
-        more = self._budgets.may_free(account, now_s)
+        short = self._budgets.transferable_tokens(account, now_s) < tokens
+        more = self._budgets.has_locked_tokens(account, now_s)
         if short and more and self._rows.can_write_soon(now_s):
-            self._budgets.want(account, self._budgets.enough_to_give(tokens))
+            self._budgets.request_claim(
+                account, self._budgets.required_to_transfer(tokens)
+            )
             await self._rows.flush_row(ROW_WAIT_S)
-        return self._budgets.give(account, tokens, time.monotonic())
+        return self._budgets.transfer_out(account, tokens, time.monotonic())
 
     def _is_known_short(self, account: AccountId, tokens: int, now_s: float) -> bool:
         """Whether other entries recently lacked what the request is short of."""
         missing, until_s = self._shortfalls.get(account, (math.inf, 0.0))
-        shortfall = tokens - self._budgets.left_tokens(account, now_s)
+        shortfall = tokens - self._budgets.available_tokens(account, now_s)
         return now_s < until_s and shortfall >= missing
 
     async def _request_from_peers(
         self, account: AccountId, tokens: int, now_s: float
     ) -> None:
         """Request the missing tokens from the entries that probably hold most."""
-        missing = tokens - self._budgets.left_tokens(account, now_s)
+        missing = tokens - self._budgets.available_tokens(account, now_s)
         deadline_s = now_s + PEER_REQUESTS_TIMEOUT_S
         asked = self._peers_to_ask(account, now_s)
         for entry in asked:
@@ -140,7 +142,7 @@
             transferred = await self._peer_client.request_transfer(
                 member.peer_address, account, missing
             )
-            self._budgets.receive(account, transferred)
+            self._budgets.transfer_in(account, transferred)
             if transferred < missing:
                 depleted_until_s = time.monotonic() + DEPLETED_TTL_S
                 self._depleted_until_s[account, entry] = depleted_until_s
@@ -150,7 +152,7 @@
 
     def _peers_to_ask(self, account: AccountId, now_s: float) -> list[EntryId]:
         """The entries that probably hold most, without those recently depleted."""
-        holders = self._budgets.rows.richest(account)
+        holders = self._budgets.rows.entries_by_unspent(account)
         until_s = self._depleted_until_s
         candidates = [e for e in holders if until_s.get((account, e), now_s) <= now_s]
         return candidates[:MAX_PEERS_ASKED]
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -6,7 +6,7 @@
 from celerytrack.eras import Era, EraChange
 from celerytrack.events import Event, log_event
 from celerytrack.ids import EntryId
-from celerytrack.prepaid.restores import RestoreGuard
+from celerytrack.prepaid.restore_hold import RestoreHold
 
 _log = logging.getLogger(__name__)
 
@@ -23,7 +23,7 @@
     log_event(
         _log,
         Event.ERA_CHANGED,
-        logging.INFO if change.expected else logging.WARNING,
+        logging.INFO if change.is_expected else logging.WARNING,
         old=change.old,
         new=change.new,
         offset=offset,
@@ -31,13 +31,13 @@
     )
 
 
-def log_hold_ended(guard: RestoreGuard, era: Era | None) -> None:
+def log_hold_ended(guard: RestoreHold, era: Era | None) -> None:
     """Log how long claims were held, and which entries still wrote no row."""
     log_event(
         _log,
         Event.ERA_CLAIMS_HELD,
         era=era,
-        held_s=round(guard.held_s, 3),
+        held_s=round(guard.duration_s, 3),
         missing=sorted(guard.missing)[:MAX_LOGGED_ENTRIES],
-        kept=guard.kept,
+        kept=guard.retained_count,
     )
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -1,17 +1,17 @@
 """The task that publishes this entry's row and follows those of all entries.
 
 It folds each row of the entries topic into the
-:class:`~celerytrack.prepaid.PrepaidBook` and the
-:class:`~celerytrack.members.MemberView`, and appends this entry's row, one append at
-a time. Appends are numbered: the store recognises one that arrives late or twice, so
-it never overwrites a later row.
+:class:`~celerytrack.prepaid.PrepaidBudgets` and the
+:class:`~celerytrack.members.MembershipView`, and appends this entry's row, one append
+at a time. Appends are numbered: the store recognises one that arrives late or twice,
+so it never overwrites a later row.
 """
 
 import asyncio
 import logging
 import time
 
-from celerytrack.eras import Era, EraChange, EraWatch
+from celerytrack.eras import Era, EraChange, EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.gateway.last_row import PreviousRow, clock_offset_s
@@ -26,17 +26,17 @@
 from celerytrack.gateway.row_writer import FencedError, LogRestoredError, RowWriter
 from celerytrack.gateway.tail import RETRY_MAX_S, RETRY_S, KeyedTail
 from celerytrack.ids import EntryId, Zone
-from celerytrack.member import of_other_eras
+from celerytrack.member import rows_of_other_eras
 from celerytrack.members import (
     Member,
+    MembershipView,
     MemberState,
-    MemberView,
 )
 from celerytrack.platform.log_format import KeyedRecord
 from celerytrack.platform.rows import RowError, decode_member, encode_member
 from celerytrack.platform.topics import ENTRIES_TOPIC
-from celerytrack.prepaid import PrepaidBook
-from celerytrack.row_pace import RowPace, beat_interval_s
+from celerytrack.prepaid import PrepaidBudgets
+from celerytrack.row_rate import RowRateLimiter, heartbeat_interval_s
 
 _log = logging.getLogger(__name__)
 
@@ -71,11 +71,11 @@
         peer_client: PeerClient,
         started_s: float,
         link_mbps: float = 0.0,
-        eras: EraWatch | None = None,
+        eras: EraTracker | None = None,
     ) -> None:
-        self.budgets = PrepaidBook(entry_id)
-        self.members = MemberView(entry_id, link_mbps)
-        self._pace = RowPace()
+        self.budgets = PrepaidBudgets(entry_id)
+        self.members = MembershipView(entry_id, link_mbps)
+        self._pace = RowRateLimiter()
         self.state = MemberState.SERVING
         self.started = False
         self._store = store
@@ -85,7 +85,7 @@
         self._peer_address = peer_address
         self._started_s = started_s
         self._zone = zone
-        self._eras = EraWatch() if eras is None else eras
+        self._eras = EraTracker() if eras is None else eras
         self._eras.on_change(self._on_era_change)
         self._handled_era_changes = 0
         self._superseded = False
@@ -128,7 +128,7 @@
     def max_row_wait_s(self) -> float:
         """Longest time that a request waits for a row in flight. A store that is slow
         but available completes the append within twice its usual time."""
-        return max(SLOW_APPEND_S, 2 * self.budgets.row_time_s)
+        return max(SLOW_APPEND_S, 2 * self.budgets.row_round_trip_s)
 
     async def flush_row(self, timeout_s: float) -> None:
         """Request an early row and wait up to ``timeout_s`` until it is folded."""
@@ -146,16 +146,16 @@
                 await self._refence()
                 self._row_due = True
             now_s = time.monotonic()
-            division = self.members.division(now_s)
-            entries = division.allowances
-            urgent = self._plan(division.parts, now_s)
-            interval_s = beat_interval_s(entries)
+            division = self.members.caller_split(now_s)
+            entries = division.rate_limit_shares
+            urgent = self._plan(division.account_shares, now_s)
+            interval_s = heartbeat_interval_s(entries)
             if urgent or self._row_due or now_s - written_s >= interval_s:
                 self._row_due = False
                 log_event(_log, Event.SHARES, shares=self.budgets.summary(now_s))
                 await self._write_row()
                 written_s = time.monotonic()
-                await asyncio.sleep(self._pace.pause_s(entries, written_s))
+                await asyncio.sleep(self._pace.next_delay_s(entries, written_s))
             self._wake.clear()
             left_s = written_s + interval_s - time.monotonic()
             if self._row_due or self._needs_refencing:
@@ -198,7 +198,7 @@
             Event.SHARES_TAKEN_OVER,
             epoch=self._writer.epoch,
             age_s=age_s,
-            lost=self.budgets.lost(),
+            lost=self.budgets.lost_tokens(),
             last_made_s=last.made_s if last else None,
             started_s=self._started_s,
             clock_moved_s=clock_offset_s() - last.clock_offset_s if last else None,
@@ -210,18 +210,18 @@
         era = self._eras.known
         if era is None or (last is not None and last.era in (None, era)):
             return
-        others = self.members.live(time.monotonic())[:MAX_RECALL_PEERS]
+        others = self.members.live_peers(time.monotonic())[:MAX_RECALL_PEERS]
         queries = (
             self._peer_client.fetch_row(m.peer_address, self._entry_id) for m in others
         )
         for row in await asyncio.gather(*queries):
-            self.budgets.recall(row)
+            self.budgets.merge_own_row(row)
 
     def _plan(self, parts: float, now_s: float) -> bool:
-        was_holding = self.budgets.guard.holding
+        was_holding = self.budgets.restore_hold.active
         urgent = self.budgets.plan(parts, now_s)
-        if was_holding and not self.budgets.guard.holding:
-            log_hold_ended(self.budgets.guard, self._eras.known)
+        if was_holding and not self.budgets.restore_hold.active:
+            log_hold_ended(self.budgets.restore_hold, self._eras.known)
         return urgent
 
     async def _write_row(self) -> None:
@@ -249,7 +249,7 @@
             clock_lead_s=self.members.clock_lead_s(offset_s),
             link_mbps=self.members.link_mbps,
             era=self._eras.known,
-            shares=self.budgets.next_row(now_s),
+            shares=self.budgets.make_row(now_s),
         )
         self._append_started_s = now_s
         changes = self._eras.changes
@@ -267,8 +267,8 @@
                 raise LogRestoredError
         self._append_started_s = None
         self._update_row_time(time.monotonic() - now_s)
-        self.members.read_ok(time.monotonic())
-        self.budgets.row_folded()
+        self.members.record_read(time.monotonic())
+        self.budgets.confirm_row()
         self._rows_folded = self._rows_made
         self._previous_row.resolve_age(member, self.members, self.budgets)
         self._notify_waiters()
@@ -276,18 +276,20 @@
     def _update_row_time(self, took_s: float) -> None:
         # A row that was retried during an outage says nothing about the next one.
         took_s = min(took_s, MAX_TOKEN_WAIT_S)
-        known_s = self.budgets.row_time_s
-        self.budgets.row_time_s = known_s + ROW_TIME_EWMA_WEIGHT * (took_s - known_s)
+        known_s = self.budgets.row_round_trip_s
+        self.budgets.row_round_trip_s = known_s + ROW_TIME_EWMA_WEIGHT * (
+            took_s - known_s
+        )
 
     # -- a restored log ---------------------------------------------------
 
     def _on_era_change(self, change: EraChange) -> None:
         """Hold claims at once: what other tasks read next is from the backup."""
-        alive = self.members.lately_written()
+        alive = self.members.recent_writers()
         if not self.started:
             alive = set(self._rows_of_other_eras())
         awaited = alive - {self._entry_id}
-        self.budgets.rose(change.new, awaited, change.seen_at_s)
+        self.budgets.on_log_restored(change.new, awaited, change.seen_at_s)
         log_restored(change, self._tail.next_offset, awaited)
         self._wake.set()
 
@@ -315,22 +317,22 @@
         been restored."""
         others = self._rows_of_other_eras()
         if others:
-            self._eras.learn(max(others.values()), time.monotonic())
+            self._eras.observe_stored(max(others.values()), time.monotonic())
 
     def _rows_of_other_eras(self) -> dict[EntryId, Era]:
-        return of_other_eras(self.members.members().values(), self._eras.known)
+        return rows_of_other_eras(self.members.members().values(), self._eras.known)
 
     # -- the fold ----------------------------------------------------------
 
     def _apply_record(self, record: KeyedRecord) -> None:
         if record.value is None:
-            self.members.dropped(EntryId(record.key))
+            self.members.remove(EntryId(record.key))
             self.budgets.fold(EntryId(record.key), {})
             return
         try:
             self._fold(decode_member(record.key, record.value))
         except RowError as exc:
-            self.budgets.unreadable(EntryId(record.key))
+            self.budgets.mark_unreadable(EntryId(record.key))
             log_event(_log, Event.ROW_REJECTED, logging.ERROR, detail=str(exc))
 
     def _fold(self, member: Member) -> None:
@@ -347,7 +349,7 @@
             self._superseded |= member.started_at_s > started_at_s
 
     def _drop_missing(self, keys: set[str]) -> None:
-        self.budgets.keep_only({EntryId(key) for key in keys})
+        self.budgets.retain_entries({EntryId(key) for key in keys})
 
     def _on_append_result(self, answered: bool) -> None:
         self._tail.reachable = answered
--- a/src/celerytrack/gateway/tail.py
+++ b/src/celerytrack/gateway/tail.py
@@ -7,7 +7,7 @@
 
 from returns.result import Failure, Result, Success
 
-from celerytrack.eras import Era, EraWatch
+from celerytrack.eras import Era, EraTracker
 from celerytrack.events import Event, log_event
 from celerytrack.gateway.hedged_store import Store
 from celerytrack.platform.log_format import Batch, KeyedRecord
@@ -57,7 +57,7 @@
         on_reload: Callable[[set[str]], None] = lambda keys: None,
         on_caught_up: Callable[[float], None] = lambda at_s: None,
         on_reachability: Callable[[bool], None] = lambda reachable: None,
-        eras: EraWatch | None = None,
+        eras: EraTracker | None = None,
         only_key: str | None = None,
     ) -> None:
         self.topic = topic
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from celerytrack.eras import EraWatch
-from celerytrack.findings import Ending, Findings, Trial
+from celerytrack.eras import EraTracker
+from celerytrack.findings import Crash, Findings, Probe
 from celerytrack.gateway.hedged_store import HedgedStore
-from celerytrack.gateway.suspect_keeper import SuspectKeeper
+from celerytrack.gateway.suspect_sync import SuspectSync
 from celerytrack.ids import EndpointId, EntryId
 from celerytrack.lab.crash_endpoints import (
     KNOWN_S,
@@ -22,7 +22,7 @@
 )
 from celerytrack.lab.model_log import ModelLog, ModelStore
 from celerytrack.lab.virtual_time import Clock, on_instance
-from celerytrack.suspects import Standing
+from celerytrack.suspects import SuspectState
 
 MOST_ATTEMPTS = 2
 MOST_UNSENT = 3
@@ -71,7 +71,7 @@
         self.apart = False
         self.moved_s = float("-inf")
         self.store = ModelStore(log)
-        self.keeper: SuspectKeeper | None = None
+        self.keeper: SuspectSync | None = None
         self._service = service
         self._remembers = remembers
         self._tell = tell
@@ -86,10 +86,10 @@
 
     async def start(self) -> None:
         """Start the process and wait until it serves."""
-        self.store.eras = eras = EraWatch()
+        self.store.eras = eras = EraTracker()
         self._starts += 1
         await asyncio.sleep(START_S)
-        keeper = SuspectKeeper(
+        keeper = SuspectSync(
             HedgedStore(self.store),
             self.entry_id,
             str(self._starts),
@@ -99,7 +99,7 @@
         )
         if self._remembers:
             self._task = on_instance(Clock(), keeper.run())
-            while not keeper.started:
+            while not keeper.loaded:
                 await asyncio.sleep(0.01)
         self.keeper = keeper
 
@@ -115,9 +115,9 @@
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
-        for evidence in findings.seen:
-            self._avoided_s[evidence.ending.endpoint_id] = now_s + AVOIDED_S
-        self.keeper.hear(findings)
+        for evidence in findings.evidence:
+            self._avoided_s[evidence.crash.endpoint_id] = now_s + AVOIDED_S
+        self.keeper.receive(findings)
 
     async def serve(
         self, request: ModelRequest, others: Sequence[EntryId]
@@ -130,9 +130,9 @@
         while sends < MOST_ATTEMPTS and unsent < MOST_UNSENT:
             standing = self._standing(request)
             endpoint = self._choose(standing, tried)
-            if standing is Standing.SHUT_OUT or endpoint is None:
+            if standing is SuspectState.QUARANTINED or endpoint is None:
                 break
-            if standing is Standing.ALONE and not await self._claim(
+            if standing is SuspectState.PROBE_ONLY and not await self._claim(
                 request, endpoint, others
             ):
                 return ModelAnswer.SHUT_OUT
@@ -153,40 +153,40 @@
                 continue
             self._ended_well(request)
             return ModelAnswer.SERVED
-        if self._standing(request) is Standing.SHUT_OUT:
+        if self._standing(request) is SuspectState.QUARANTINED:
             return ModelAnswer.SHUT_OUT
         return ModelAnswer.FAILED
 
     async def _run(
-        self, request: ModelRequest, endpoint: ModelEndpoint, standing: Standing
+        self, request: ModelRequest, endpoint: ModelEndpoint, standing: SuspectState
     ) -> None:
         name = endpoint.endpoint_id
         self._running[name] += 1
-        self._suspects_at[name] += standing is not Standing.CLEAR
+        self._suspects_at[name] += standing is not SuspectState.CLEAR
         try:
             if endpoint.ended_s is None:
                 self._sent(self, request)
             await endpoint.run(request)
         finally:
             self._running[name] -= 1
-            self._suspects_at[name] -= standing is not Standing.CLEAR
+            self._suspects_at[name] -= standing is not SuspectState.CLEAR
 
-    def _standing(self, request: ModelRequest) -> Standing:
+    def _standing(self, request: ModelRequest) -> SuspectState:
         if self.keeper is None or not self._remembers:
-            return Standing.CLEAR
+            return SuspectState.CLEAR
         now_s = asyncio.get_running_loop().time()
-        return self.keeper.book.standing(request.fingerprint, {BUILD}, now_s)
+        return self.keeper.tracker.state_of(request.fingerprint, {BUILD}, now_s)
 
     def _choose(
-        self, standing: Standing, tried: Sequence[EndpointId]
+        self, standing: SuspectState, tried: Sequence[EndpointId]
     ) -> ModelEndpoint | None:
         assert self.keeper is not None
         now_s = asyncio.get_running_loop().time()
         known = self._service.registered(now_s, self._read_s)
         known = [e for e in known if e.endpoint_id not in tried]
         sound = [e for e in known if self._avoided_s.get(e.endpoint_id, 0.0) <= now_s]
-        apart = self.keeper.book.endpoints_on_trial(now_s)
-        if standing is not Standing.CLEAR:
+        apart = self.keeper.tracker.probed_endpoints(now_s)
+        if standing is not SuspectState.CLEAR:
             apart |= {name for name, count in self._suspects_at.items() if count}
         free = [e for e in sound if e.endpoint_id not in apart]
         best = free or sound or known
@@ -208,23 +208,25 @@
         others: Sequence[EntryId],
     ) -> bool:
         assert self.keeper is not None
-        trial = Trial(request.fingerprint, endpoint.endpoint_id, TRIAL_S)
-        return await self.keeper.claim(trial, others)
+        trial = Probe(request.fingerprint, endpoint.endpoint_id, TRIAL_S)
+        return await self.keeper.begin_probe(trial, others)
 
     def _release(self, request: ModelRequest) -> None:
         if self.keeper is not None:
-            self.keeper.publish(self.keeper.book.release(request.fingerprint))
+            self.keeper.publish(self.keeper.tracker.cancel_probe(request.fingerprint))
 
     def _saw_ending(self, request: ModelRequest, endpoint: ModelEndpoint) -> None:
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
-        ending = Ending(endpoint.endpoint_id, 0, BUILD)
-        book = self.keeper.book
-        self.keeper.publish(book.witnessed(ending, [request.fingerprint], now_s))
+        ending = Crash(endpoint.endpoint_id, 0, BUILD)
+        book = self.keeper.tracker
+        self.keeper.publish(book.record_crash(ending, [request.fingerprint], now_s))
 
     def _ended_well(self, request: ModelRequest) -> None:
         if self.keeper is None or not self._remembers:
             return
         now_s = asyncio.get_running_loop().time()
-        self.keeper.publish(self.keeper.book.forgive(request.fingerprint, now_s))
+        self.keeper.publish(
+            self.keeper.tracker.record_success(request.fingerprint, now_s)
+        )
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Coroutine, Mapping, Sequence
 from typing import Any, TypeVar
 
-from celerytrack.eras import EraWatch
+from celerytrack.eras import EraTracker
 from celerytrack.gateway.hedged_store import HedgedStore
 from celerytrack.gateway.peer_requests import PEER_REQUEST_TIMEOUT_S
 from celerytrack.gateway.reservations import Reservations
@@ -13,7 +13,7 @@
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.lab.model_log import ModelLog, ModelStore
 from celerytrack.lab.virtual_time import Clock, on_instance
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 
 PEER_S = 0.001
 """Way from entry to entry and back."""
@@ -44,14 +44,16 @@
         giving = on_instance(other.clock, other.reservations.transfer(account, tokens))
         return await giving
 
-    async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
+    async def fetch_row(
+        self, address: str, me: EntryId
+    ) -> Mapping[AccountId, AccountClaim]:
         """What the entry at ``address`` knows of the row of ``me``."""
         other = self._fleet[int(address)]
         if self._me.apart or other.apart or other.keeper is None:
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_S)
-        return other.keeper.budgets.guard.known(me)
+        return other.keeper.budgets.restore_hold.known_row(me)
 
 
 class ModelEntry:
@@ -87,7 +89,7 @@
     async def start(self) -> None:
         """Start the process anew and wait until it serves."""
         loop = asyncio.get_running_loop()
-        self.store.eras = eras = EraWatch()
+        self.store.eras = eras = EraTracker()
         keeper = ShareSync(
             HedgedStore(self.store),
             EntryId(f"e{self.number}"),
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -17,7 +17,7 @@
     ENDPOINTS_TOPIC,
     ENTRIES_TOPIC,
 )
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 from tests.gateway_fleet import config
 from tests.restored_instance import ACCOUNT, Instance
 from tests.restored_log import RestoredLog
@@ -238,7 +238,7 @@
             assert gateway.routing_table.version == self.version, (
                 gateway.routing_table.version
             )
-            assert not gateway.share_sync.budgets.guard.holding
+            assert not gateway.share_sync.budgets.restore_hold.active
             for name, replica in self.replicas.items():
                 assert self._usable(instance, name) is self._serves(replica), name
             self._check_rows(instance)
@@ -296,13 +296,15 @@
         alive = other.up and other.gateway.share_sync is share_sync
         return given if alive and not self.peer_replies_lost else 0
 
-    async def fetch_row(self, address: str, me: EntryId) -> Mapping[AccountId, Row]:
+    async def fetch_row(
+        self, address: str, me: EntryId
+    ) -> Mapping[AccountId, AccountClaim]:
         """Model a row query between entries; its reply may be lost."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
         if not other.up or self.peer_replies_lost:
             return {}
-        return other.gateway.share_sync.budgets.guard.known(me)
+        return other.gateway.share_sync.budgets.restore_hold.known_row(me)
 
     async def close(self) -> None:
         """Do nothing: the model has no connections."""
@@ -369,7 +371,7 @@
             member = decode_member(instance.entry_id, newest[1])
             if member.era == self.log.era:
                 return 0
-            claimed = member.shares.get(ACCOUNT, Row()).claimed_tokens
+            claimed = member.shares.get(ACCOUNT, AccountClaim()).claimed_tokens
         return max(0, instance.share().accepted_tokens - claimed)
 
     @staticmethod
@@ -383,6 +385,6 @@
 
     def _usable(self, instance: Instance, name: str) -> bool:
         endpoint = instance.gateway.endpoints._endpoints.get(EndpointId(name))
-        if endpoint is None or endpoint.gone_at_s is not None:
+        if endpoint is None or endpoint.deregistered_at_s is not None:
             return False
         return not endpoint.registration.draining
--- a/tests/restored_site.py
+++ b/tests/restored_site.py
@@ -178,7 +178,7 @@
         await asyncio.gather(*stops)
 
     async def _start_again(self, gateway: GatewayProcess) -> None:
-        self.exits.append(await gateway.ended(MAX_STOP_S))
+        self.exits.append(await gateway.wait_for_exit(MAX_STOP_S))
         await gateway.start()
 
     # -- callers ------------------------------------------------------------
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 from nose2.tools import params
 
 from celerytrack.gateway import peer_requests
-from celerytrack.gateway.attempts import CallerGoneError, finish
+from celerytrack.gateway.attempts import CallerDisconnectedError, finish_stream
 from celerytrack.gateway.reservations import MAX_TOKEN_WAIT_S, PEER_REQUESTS_TIMEOUT_S
 from celerytrack.ids import AccountId
 from celerytrack.planned_stop import PlannedStop
@@ -238,7 +238,7 @@
                 record = other.registration(zone="far")
                 fleet.log.put(ENDPOINTS_TOPIC, other.name, record)
                 known = fleet.gateways[0].endpoints
-                await fleet.wait_until(lambda: len(known.ids()) == 2)
+                await fleet.wait_until(lambda: len(known.registered_ids()) == 2)
             status, headers, body = await fleet.ask("/plain/x")
             self.assertEqual(json.loads(body)["error"]["verdict"], "may_have_run")
             self.assertEqual(status, 502)
@@ -279,7 +279,7 @@
             await fleet.wait_until(
                 lambda: (
                     gateway.routing_table.version == 2
-                    and len(gateway.endpoints.ids()) == 2
+                    and len(gateway.endpoints.registered_ids()) == 2
                 )
             )
             for i in range(6):
@@ -334,8 +334,8 @@
         response = mock.AsyncMock()
         gone = aiohttp.ClientConnectionResetError("Cannot write to closing transport")
         response.write_eof.side_effect = gone
-        with self.assertRaises(CallerGoneError):
-            asyncio.run(finish(mock.Mock(response=response)))
+        with self.assertRaises(CallerDisconnectedError):
+            asyncio.run(finish_stream(mock.Mock(response=response)))
 
 
 class PrepaidTest(unittest.IsolatedAsyncioTestCase):
@@ -362,7 +362,7 @@
             await self._settled(fleet)
             fleet.log.down = True
             here, there = (g.share_sync.budgets for g in fleet.gateways)
-            cost = here.left_tokens(T, 0.0) + there.left_tokens(T, 0.0) // 3
+            cost = here.available_tokens(T, 0.0) + there.available_tokens(T, 0.0) // 3
             one = {"X_Token_Count": f"{cost},5", "X_Prompt_Prefix": "aa:6"}
             status, _, _ = await fleet.ask("/stream/x", **one)
             return status
@@ -379,7 +379,9 @@
         await fleet.wait_until(
             lambda: (
                 len(fleet.log.topics["keyed.celerytrack-entries"].records) >= wrote + 6
-                and not any(g.share_sync.budgets.row_on_its_way for g in fleet.gateways)
+                and not any(
+                    g.share_sync.budgets.has_row_in_flight for g in fleet.gateways
+                )
             )
         )
 
@@ -534,12 +536,12 @@
             for raw in (b"\xff", b"[" * 100_000, first.registration(state="asleep")):
                 fleet.log.put(ENDPOINTS_TOPIC, "i-1", raw)
             fleet.log.put(ENDPOINTS_TOPIC, "i-3", b"{}")
-            await fleet.wait_until(lambda: book.ids() == ["i-2"])
+            await fleet.wait_until(lambda: book.registered_ids() == ["i-2"])
             for i in range(6):
                 await fleet.ask("/plain/x", f"r{i}")
             self.assertEqual((len(first.seen), len(second.seen)), (0, 6))
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", first.registration())
-            await fleet.wait_until(lambda: set(book.ids()) == {"i-1", "i-2"})
+            await fleet.wait_until(lambda: set(book.registered_ids()) == {"i-1", "i-2"})
 
     async def test_nor_where_its_service_has_no_other(self):
         """Symptom: for 1.5 s after its record was none, the only endpoint of a
@@ -553,7 +555,7 @@
         async with Fleet(only) as fleet:
             book = fleet.gateways[0].endpoints
             fleet.log.put(ENDPOINTS_TOPIC, "i-1", b"{}")
-            await fleet.wait_until(lambda: book.ids() == [])
+            await fleet.wait_until(lambda: book.registered_ids() == [])
             status, _, _ = await fleet.ask("/plain/x")
             self.assertEqual((status, len(only.seen)), (503, 0))
 
@@ -566,7 +568,9 @@
 
         async with _fleet(slow, gateways=2) as fleet:
             leaving, other = fleet.gateways
-            await fleet.wait_until(lambda: len(other.share_sync.members.live(1e9)) == 1)
+            await fleet.wait_until(
+                lambda: len(other.share_sync.members.live_peers(1e9)) == 1
+            )
             asked = asyncio.create_task(fleet.ask("/once/x"))
             await fleet.wait_until(lambda: _runs(fleet) == 1)
             fleet.servers[0].stop()
@@ -575,7 +579,7 @@
             late = await fleet.ask("/plain/late", "r2")
             self.assertEqual((late[0], late[1].get("Connection")), (200, "close"))
             await fleet.wait_until(
-                lambda: not other.share_sync.members.live(1e9),
+                lambda: not other.share_sync.members.live_peers(1e9),
             )
             address = other.settings.directory_address
             url = f"http://{address}/resolve?name={HOST}&zone=z"
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -9,7 +9,7 @@
 from celerytrack.gateway.peer_requests import PeerClient
 from celerytrack.ids import AccountId, EntryId
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
-from celerytrack.prepaid import PrepaidBook, Row
+from celerytrack.prepaid import AccountClaim, PrepaidBudgets
 from tests.gateway_fleet import Fleet
 
 T = AccountId("t")
@@ -22,7 +22,7 @@
         backup, and other entries claimed again what its predecessor had claimed."""
         async with Fleet(gateways=2) as fleet:
             first, second = fleet.gateways
-            known = second.share_sync.budgets.guard.known
+            known = second.share_sync.budgets.restore_hold.known_row
             await fleet.wait_until(lambda: T in known(first.entry_id))
             client = PeerClient()
             self.addAsyncCleanup(client.close)
@@ -44,17 +44,17 @@
         self.assertLess(time.monotonic() - started_s, 0.5)
 
     def test_recovered_claim_counts_as_spent(self) -> None:
-        book = PrepaidBook(ME)
+        book = PrepaidBudgets(ME)
         book.set_totals({T: 1_000})
-        book.fold(ME, {T: Row(claimed_tokens=100, used_tokens=50)}, Era(1))
-        book.recall({T: Row(claimed_tokens=400, used_tokens=300)})
-        book.recall({T: Row(claimed_tokens=200, used_tokens=350)})
+        book.fold(ME, {T: AccountClaim(claimed_tokens=100, used_tokens=50)}, Era(1))
+        book.merge_own_row({T: AccountClaim(claimed_tokens=400, used_tokens=300)})
+        book.merge_own_row({T: AccountClaim(claimed_tokens=200, used_tokens=350)})
         book.adopt(None)
-        self.assertEqual(book.rows.mine()[T].claimed_tokens, 400)
-        self.assertLessEqual(book.left_tokens(T, 0.0), 0)
+        self.assertEqual(book.rows.own_row()[T].claimed_tokens, 400)
+        self.assertLessEqual(book.available_tokens(T, 0.0), 0)
 
     def test_shares_survive_a_round_trip_and_bad_bytes_are_rejected(self) -> None:
-        shares = {T: Row(claimed_tokens=5, used_tokens=2)}
+        shares = {T: AccountClaim(claimed_tokens=5, used_tokens=2)}
         self.assertEqual(decode_shares(encode_shares(shares)), shares)
         for raw in (b"", b"\x01", b"\x81\xa1t\x01", b"\x81\xa1t\x91\xc3"):
             with self.assertRaises(RowError):
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -155,7 +155,7 @@
             await fleet.wait_until(lambda: self._republished(fleet, era), 2.0)
             # Rows of the new era have lower offsets than those read before.
             await fleet.wait_until(
-                lambda: not any(b.guard.holding for b in books), MAX_HOLD_S
+                lambda: not any(b.restore_hold.active for b in books), MAX_HOLD_S
             )
             after_restore = [b._share(ACCOUNT).accepted_tokens for b in books]
             for before, after in zip(accepted, after_restore, strict=True):
@@ -214,17 +214,19 @@
             numbers = {"born": 1, "sequence": 1}
             log.put(ENDPOINTS_TOPIC, "left", left.registration(**numbers))
             await fleet.wait_until(
-                lambda: set(gateway.endpoints.ids()) == {"a", "left"}
+                lambda: set(gateway.endpoints.registered_ids()) == {"a", "left"}
             )
             backup = log.copy()
             log.put(ENDPOINTS_TOPIC, "left", b"")
             log.put(ENDPOINTS_TOPIC, "late", late.registration(**numbers))
             await fleet.wait_until(
-                lambda: set(gateway.endpoints.ids()) == {"a", "late"}
+                lambda: set(gateway.endpoints.registered_ids()) == {"a", "late"}
             )
             log.restore(backup)
             deadline_s = time.monotonic() + 1.5
             while time.monotonic() < deadline_s:
-                self.assertEqual(set(gateway.endpoints.ids()), {"a", "late"})
+                self.assertEqual(set(gateway.endpoints.registered_ids()), {"a", "late"})
                 await asyncio.sleep(0.05)
-            await fleet.wait_until(lambda: set(gateway.endpoints.ids()) == {"a"}, 3.0)
+            await fleet.wait_until(
+                lambda: set(gateway.endpoints.registered_ids()) == {"a"}, 3.0
+            )
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -11,7 +11,7 @@
 from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId, EntryId, Zone
 from celerytrack.members import Member, MemberState
-from celerytrack.prepaid import Row
+from celerytrack.prepaid import AccountClaim
 
 A = AccountId("a")
 ME, PEER = EntryId("me"), EntryId("peer")
@@ -35,7 +35,7 @@
 def _make_share_sync(peers: _GenerousPeers, held_elsewhere: int) -> ShareSync:
     share_sync = ShareSync(None, ME, "front", "peer", Zone("z"), peers, 0.0)
     share_sync.budgets.set_totals({A: TOTAL})
-    shares = {A: Row(held_elsewhere, held_elsewhere, 0)}
+    shares = {A: AccountClaim(held_elsewhere, held_elsewhere, 0)}
     share_sync._fold(Member(PEER, 1, "f", "p", Zone("z"), SERVING, 0.0))
     share_sync.budgets.fold(PEER, shares)
     return share_sync
@@ -111,7 +111,7 @@
             share_sync._fold(
                 Member(EntryId(name), 1, "f", "p", Zone("z"), SERVING, 0.0)
             )
-            share_sync.budgets.fold(EntryId(name), {A: Row(0, 0, 0)})
+            share_sync.budgets.fold(EntryId(name), {A: AccountClaim(0, 0, 0)})
         started_s = time.monotonic()
         reservation = asyncio.run(
             share_sync.reservations.reserve(A, 1_000, urgent=False)
@@ -166,7 +166,7 @@
             name, share = EntryId(f"e{i}"), TOTAL // entries
             member = Member(name, 1, "f", f"p{i}", Zone("z"), SERVING, 0.0)
             share_sync._fold(member)
-            share_sync.budgets.fold(name, {A: Row(share, share, 0)})
+            share_sync.budgets.fold(name, {A: AccountClaim(share, share, 0)})
         reserve = share_sync.reservations.reserve
         reservation = [
             asyncio.run(reserve(A, 1_000, urgent=False)) for _ in range(entries)
