--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -277,7 +277,7 @@
             record_attempt_failure(gateway, exchange, endpoint.endpoint_id, failure)
             book.record_failure(endpoint, failure.hard, time.monotonic())
             if failure.was_interrupted:
-                gateway.ended_endpoints.report_interrupted(
+                gateway.crash_detector.report_interrupted(
                     endpoint, exchange.fingerprint
                 )
             if failure.address_reused:
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -163,7 +163,7 @@
 
     :param may_claim: whether a row could claim the missing tokens. If other entries
         hold them, waiting is of no use before these were asked.
-    :param soon_s: longest time that a row may be in flight.
+    :param max_row_wait_s: longest time that a request waits for a row in flight.
     """
     if not may_claim:
         return 0.0
--- a/src/celerytrack/gateway/restore_logs.py
+++ b/src/celerytrack/gateway/restore_logs.py
@@ -31,13 +31,13 @@
     )
 
 
-def log_hold_ended(guard: RestoreHold, era: Era | None) -> None:
+def log_hold_ended(hold: RestoreHold, era: Era | None) -> None:
     """Log how long claims were held, and which entries still wrote no row."""
     log_event(
         _log,
         Event.ERA_CLAIMS_HELD,
         era=era,
-        held_s=round(guard.duration_s, 3),
-        missing=sorted(guard.missing)[:MAX_LOGGED_ENTRIES],
-        kept=guard.retained_count,
+        held_s=round(hold.duration_s, 3),
+        missing=sorted(hold.missing)[:MAX_LOGGED_ENTRIES],
+        kept=hold.retained_count,
     )
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -146,9 +146,9 @@
                 await self._refence()
                 self._row_due = True
             now_s = time.monotonic()
-            division = self.members.caller_split(now_s)
-            entries = division.rate_limit_shares
-            urgent = self._plan(division.account_shares, now_s)
+            split = self.members.caller_split(now_s)
+            entries = split.rate_limit_shares
+            urgent = self._plan(split.account_shares, now_s)
             interval_s = heartbeat_interval_s(entries)
             if urgent or self._row_due or now_s - written_s >= interval_s:
                 self._row_due = False
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -101,7 +101,7 @@
         self.durations = Durations()
         self._retry_budgets: dict[ServiceName, RetryBudget] = {}
         self.connections = EndpointConnections()
-        self.ended_endpoints = CrashDetector(
+        self.crash_detector = CrashDetector(
             self.endpoints.is_superseded, self._on_endpoint_crash
         )
         self.suspects = SuspectSync(
@@ -164,22 +164,22 @@
             self.config_known_at_s = float("-inf")
         self.endpoints.on_log_restored()
 
-    def _on_endpoint_crash(self, ended: CrashedEndpoint) -> None:
+    def _on_endpoint_crash(self, crashed: CrashedEndpoint) -> None:
         self.telemetry.endpoints_ended.inc()
         log_event(
             _log,
             Event.ENDPOINT_ENDED,
             logging.WARNING,
-            endpoint=ended.endpoint.endpoint_id,
-            fingerprints=sorted(f.hex() for f in ended.interrupted),
+            endpoint=crashed.endpoint.endpoint_id,
+            fingerprints=sorted(f.hex() for f in crashed.interrupted),
         )
         now_s = time.monotonic()
-        registration = ended.endpoint.registration
+        registration = crashed.endpoint.registration
         self.endpoints.mark_crashed(registration.endpoint_id, now_s)
-        ending = Crash(
+        crash = Crash(
             registration.endpoint_id, registration.born_ms, registration.build
         )
-        found = self.suspects.tracker.record_crash(ending, ended.interrupted, now_s)
+        found = self.suspects.tracker.record_crash(crash, crashed.interrupted, now_s)
         self.suspects.publish(found)
         self._log_quarantined(found)
 
@@ -202,22 +202,22 @@
             suspect = self.suspects.tracker.describe(fingerprint, now_s)
             if suspect.state is not SuspectState.QUARANTINED:
                 continue
-            endings = frozenset(suspect.crashes)
-            if self._logged_quarantines.get(fingerprint) == endings:
+            crashes = frozenset(suspect.crashes)
+            if self._logged_quarantines.get(fingerprint) == crashes:
                 continue
-            self._logged_quarantines[fingerprint] = endings
+            self._logged_quarantines[fingerprint] = crashes
             log_quarantined(_log, suspect)
 
     def update_suspect_metrics(self) -> None:
         """Set the gauges of requests under suspicion."""
         suspects = self.suspects.tracker.list_suspects(time.monotonic())
         counts = collections.Counter(suspect.state for suspect in suspects)
-        for standing in (
+        for state in (
             SuspectState.WATCHED,
             SuspectState.PROBE_ONLY,
             SuspectState.QUARANTINED,
         ):
-            self.telemetry.suspects.labels(standing.value).set(counts[standing])
+            self.telemetry.suspects.labels(state.value).set(counts[state])
 
     def _on_peer_message(self, message: PeerMessage) -> None:
         match message:
@@ -246,8 +246,8 @@
         """
         if work_s < MIN_PROMPT_WORK_S:
             return
-        division = self.share_sync.members.caller_split(time.monotonic())
-        addresses = [member.peer_address for member in division.caller_peers]
+        split = self.share_sync.members.caller_split(time.monotonic())
+        addresses = [member.peer_address for member in split.caller_peers]
         self.peer_messenger.send_long_prompt(
             addresses, LongPromptMessage(endpoint_id, work_s)
         )
@@ -271,7 +271,7 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.ended_endpoints.close()
+        await self.crash_detector.close()
         await self.connections.close()
         self.peer_messenger.close()
         await self.peer_client.close()
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -24,7 +24,7 @@
         if record.key == CONFIG_KEY and record.value is not None:
             _apply_config(gateway, record.value)
 
-    def caught_up(at_s: float) -> None:
+    def on_caught_up(at_s: float) -> None:
         # A restored log may lack versions that were confirmed. Until they are written
         # again, a route or key missing from the configuration here may exist.
         if gateway.eras.is_rewritten_by(at_s):
@@ -34,7 +34,7 @@
         gateway.store,
         CONFIG_TOPIC,
         apply,
-        on_caught_up=caught_up,
+        on_caught_up=on_caught_up,
         eras=gateway.eras,
         only_key=CONFIG_KEY,
     )
@@ -112,7 +112,7 @@
         if result is not RegistrationChange.SAME:
             _log_registration(registration, result)
 
-    def reload(keys: set[str]) -> None:
+    def on_reload(keys: set[str]) -> None:
         gateway.endpoints_known = True
         now_s = time.monotonic()
         rewritten = gateway.eras.is_rewritten_by(now_s)
@@ -124,21 +124,21 @@
             else:
                 gateway.endpoints.restores.mark_missing(endpoint_id, now_s)
 
-    def caught_up(at_s: float) -> None:
+    def on_caught_up(at_s: float) -> None:
         for endpoint_id in gateway.endpoints.restores.pop_expired(time.monotonic()):
             drop(endpoint_id)
         gateway.endpoints_known_at_s = at_s
         gateway.endpoints_read_time_s = time.monotonic() - at_s
 
-    def contact(reachable: bool) -> None:
+    def on_reachability(reachable: bool) -> None:
         gateway.endpoints_reachable = reachable
 
     return KeyedTail(
         gateway.store,
         ENDPOINTS_TOPIC,
         apply,
-        reload,
-        caught_up,
-        contact,
+        on_reload,
+        on_caught_up,
+        on_reachability,
         gateway.eras,
     )
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -90,9 +90,9 @@
     async def run(self, for_s: float) -> None:
         """Let time pass while checking the invariants."""
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + for_s
-        while loop.time() < ends_s:
-            await asyncio.sleep(min(0.05, ends_s - loop.time() + 1e-6))
+        deadline_s = loop.time() + for_s
+        while loop.time() < deadline_s:
+            await asyncio.sleep(min(0.05, deadline_s - loop.time() + 1e-6))
             self.check()
 
     def spend(self, i: int, tokens: int, part: float, takes_s: float) -> None:
@@ -126,16 +126,16 @@
             self._heartbeat(name)
 
     def restore_log(
-        self, away_s: float, copies_ago: int, written_again_s: float
+        self, unavailable_s: float, backups_ago: int, rewrite_delay_s: float
     ) -> None:
         """Make the log unavailable, then restore it from a backup."""
         if not self.log.unavailable:
             self.run_in_background(
-                self.log.restore(away_s, copies_ago, written_again_s)
+                self.log.restore(unavailable_s, backups_ago, rewrite_delay_s)
             )
 
     async def restore_without_claim(
-        self, i: int, tokens: int, copies_ago: int, for_s: float
+        self, i: int, tokens: int, backups_ago: int, for_s: float
     ) -> None:
         """Restore the log without the recent claim of one entry, which cannot republish
         it for a while; meanwhile all other entries need these tokens."""
@@ -143,16 +143,16 @@
         await self._spend_in_burst([i], tokens)
         await self.run(0.4)
         instance.store.cut = True
-        self.restore_log(0.05, copies_ago, 0.5)
+        self.restore_log(0.05, backups_ago, 0.5)
         await self.run(0.4)
         await self._spend_in_burst([j for j in range(ENTRIES) if j != i], tokens)
         await self.run(for_s)
         await self._spend_in_burst([i], tokens)
         instance.store.cut = False
 
-    async def _spend_in_burst(self, where: list[int], tokens: int) -> None:
+    async def _spend_in_burst(self, numbers: list[int], tokens: int) -> None:
         for _ in range(8):
-            for i in where:
+            for i in numbers:
                 self.spend(i, tokens, 1.0, 0.05)
             await self.run(0.1)
 
@@ -205,10 +205,10 @@
     async def end(self) -> None:
         """Cancel all tasks; raises the error of any that failed."""
         failed = [t for t in self._tasks if t.done() and t.exception() is not None]
-        rest = asyncio.all_tasks() - {asyncio.current_task()}
-        for task in rest:
+        tasks = asyncio.all_tasks() - {asyncio.current_task()}
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         for task in failed:
             task.result()
 
@@ -290,11 +290,11 @@
         share_sync = other.gateway.share_sync
         if not other.up or not share_sync.started:
             return 0
-        given = await on_instance(
+        transferred = await on_instance(
             other.clock, share_sync.reservations.transfer(account, tokens)
         )
         alive = other.up and other.gateway.share_sync is share_sync
-        return given if alive and not self.peer_replies_lost else 0
+        return transferred if alive and not self.peer_replies_lost else 0
 
     async def fetch_row(
         self, address: str, me: EntryId
--- a/tests/restored_log.py
+++ b/tests/restored_log.py
@@ -81,20 +81,20 @@
             await asyncio.sleep(BACKUP_INTERVAL_S)
 
     async def restore(
-        self, away_s: float, copies_ago: int, written_again_s: float
+        self, unavailable_s: float, backups_ago: int, rewrite_delay_s: float
     ) -> None:
-        """Be unavailable for ``away_s``, restore a backup, and write again what the
-        platform wrote since, ``written_again_s`` later."""
+        """Be unavailable for ``unavailable_s``, restore a backup, and write again what
+        the platform wrote since, ``rewrite_delay_s`` later."""
         loop = asyncio.get_running_loop()
         self.unavailable = True
-        await asyncio.sleep(away_s)
-        backup = self._backups[-min(copies_ago, len(self._backups))]
+        await asyncio.sleep(unavailable_s)
+        backup = self._backups[-min(backups_ago, len(self._backups))]
         self.topics = copy.deepcopy(backup)
         self.era += 1
         self.unavailable = False
         self.returned_s = loop.time()
-        self.rewritten_s = self.returned_s + written_again_s
-        await asyncio.sleep(written_again_s)
+        self.rewritten_s = self.returned_s + rewrite_delay_s
+        await asyncio.sleep(rewrite_delay_s)
         for (name, key), value in self.confirmed.items():
             if dict(self.topic(name).records).get(key) != value:
                 self.topic(name).records.append((key, value))
--- a/tests/restored_site.py
+++ b/tests/restored_site.py
@@ -152,7 +152,7 @@
     # -- events -------------------------------------------------------------
 
     async def change_and_restore(
-        self, round_number: int, written_again_s: float
+        self, round_number: int, rewrite_delay_s: float
     ) -> None:
         """Change the configuration, have one endpoint announce that it leaves, remove
         another one, and restore the log from a backup that lacks all of this."""
@@ -165,7 +165,7 @@
         await asyncio.sleep(LEAVING_KNOWN_S)
         self.left_at |= {e.name: len(e.seen) for e in (draining, gone)}
         await asyncio.sleep(WROTE_BEFORE_S - LEAVING_KNOWN_S)
-        await self.log.restore_after(backup, UNAVAILABLE_S, written_again_s)
+        await self.log.restore_after(backup, UNAVAILABLE_S, rewrite_delay_s)
 
     async def roll(self, gateways: list[GatewayProcess], apart_s: float) -> None:
         """Do a rolling restart of ``gateways``."""
--- a/tests/test_share_keeper.py
+++ b/tests/test_share_keeper.py
@@ -69,7 +69,10 @@
 class StalledPeerTest(unittest.IsolatedAsyncioTestCase):
     async def test_request_to_a_stalled_peer_times_out(self):
         """Guards against a request that waits so long for a stalled entry that it can
-        neither be refused in time nor ask another one."""
+        neither be refused in time nor ask another one.
+
+        Other tests raise the timeout; this one checks its actual value.
+        """
 
         async def stalled(reader, writer):
             await asyncio.sleep(1.0)
@@ -126,8 +129,8 @@
     def test_peer_without_free_tokens_answers_at_once(self):
         share_sync = _make_share_sync(_GenerousPeers(), TOTAL)
         started_s = time.monotonic()
-        given = asyncio.run(share_sync.reservations.transfer(A, 1_000))
-        self.assertEqual(given, 0)
+        transferred = asyncio.run(share_sync.reservations.transfer(A, 1_000))
+        self.assertEqual(transferred, 0)
         self.assertLess(time.monotonic() - started_s, ROW_WAIT_S / 2)
 
 
@@ -142,15 +145,15 @@
         self, address: str, account: AccountId, tokens: int
     ) -> int:
         await super().request_transfer(address, account, tokens)
-        given = min(tokens, self.held[address])
-        self.held[address] -= given
-        return given
+        transferred = min(tokens, self.held[address])
+        self.held[address] -= transferred
+        return transferred
 
 
 class DepletedPeersTest(unittest.TestCase):
     def test_remaining_peers_are_asked_once_others_are_depleted(self):
-        """Guards against requests refused in the last seconds of an outage while
-        reachable entries held a tenth of the account.
+        """Guards against requests refused in the last seconds of a network partition
+        while reachable entries held a tenth of the account.
 
         While the log is unreachable, old rows stay valid. The six entries that held
         most were asked first and transferred everything; every later request asked
@@ -168,10 +171,10 @@
             share_sync._fold(member)
             share_sync.budgets.fold(name, {A: AccountClaim(share, share, 0)})
         reserve = share_sync.reservations.reserve
-        reservation = [
+        reservations = [
             asyncio.run(reserve(A, 1_000, urgent=False)) for _ in range(entries)
         ]
-        self.assertNotIn(None, reservation)
+        self.assertNotIn(None, reservations)
         asked = len(peers.asked_s)
         self.assertIsNone(asyncio.run(reserve(A, 1_000, urgent=False)))
         self.assertIsNone(asyncio.run(reserve(A, 1_000, urgent=False)))
