--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -146,9 +146,9 @@
                 await self._refence()
                 self._row_due = True
             now_s = time.monotonic()
-            division = self.members.caller_split(now_s)
-            entries = division.rate_limit_shares
-            urgent = self._plan(division.account_shares, now_s)
+            split = self.members.caller_split(now_s)
+            entries = split.rate_limit_shares
+            urgent = self._plan(split.account_shares, now_s)
             interval_s = heartbeat_interval_s(entries)
             if urgent or self._row_due or now_s - written_s >= interval_s:
                 self._row_due = False
@@ -211,10 +211,10 @@
         if era is None or (last is not None and last.era in (None, era)):
             return
         others = self.members.live_peers(time.monotonic())[:MAX_RECALL_PEERS]
-        asked = (
+        queries = (
             self._peer_client.fetch_row(m.peer_address, self._entry_id) for m in others
         )
-        for row in await asyncio.gather(*asked):
+        for row in await asyncio.gather(*queries):
             self.budgets.merge_own_row(row)
 
     def _plan(self, parts: float, now_s: float) -> bool:
