--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -1,6 +1,6 @@
 """Quarantine of requests that may crash endpoints.
 
-A suspect is sent, tried in isolation by one entry at a time, or refused.
+A suspect is sent, sent as a half-open probe by one entry at a time, or refused.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 _log = logging.getLogger(__name__)
 
 TYPICAL_PROBE_S = 1.0
-"""``Retry-After`` while a request is on trial: most trials have ended by then."""
+"""``Retry-After`` during a half-open probe: most probes have ended by then."""
 OPERATOR_LIFT_RETRY_AFTER_S = 3_600.0
 """``Retry-After`` if only an operator can lift the quarantine, who may do so
 meanwhile."""
@@ -29,12 +29,12 @@
 def suspect_state_of(
     gateway: Gateway, exchange: Exchange, now_s: float
 ) -> SuspectState:
-    """Return the current standing of a request."""
-    book = gateway.suspects.tracker
-    if not book or not book.has_prefix(exchange.place):
+    """Return how suspect a request is now."""
+    tracker = gateway.suspects.tracker
+    if not tracker or not tracker.has_prefix(exchange.fingerprint_prefix):
         return SuspectState.CLEAR
     builds = gateway.endpoints.available_builds(exchange.service, now_s)
-    return book.state_of(exchange.fingerprint, builds, now_s)
+    return tracker.state_of(exchange.fingerprint, builds, now_s)
 
 
 def quarantine_refusal(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
@@ -61,58 +61,58 @@
 
 
 def choose_endpoint(
-    gateway: Gateway, exchange: Exchange, standing: SuspectState, now_s: float
+    gateway: Gateway, exchange: Exchange, suspect_state: SuspectState, now_s: float
 ) -> Choice | None:
     """Choose an endpoint for a request.
 
     While other endpoints have room, no two suspects share an endpoint, and no request
-    shares one with a request on trial.
+    shares one with a half-open probe.
     """
-    avoided = _endpoints_to_avoid(gateway, standing, now_s)
-    chosen = _choose(gateway, exchange, [*exchange.tried, *avoided], now_s)
-    if chosen is None and avoided:
+    to_avoid = _endpoints_to_avoid(gateway, suspect_state, now_s)
+    chosen = _choose(gateway, exchange, [*exchange.tried, *to_avoid], now_s)
+    if chosen is None and to_avoid:
         chosen = _choose(gateway, exchange, exchange.tried, now_s)
     return chosen
 
 
 def _endpoints_to_avoid(
-    gateway: Gateway, standing: SuspectState, now_s: float
+    gateway: Gateway, suspect_state: SuspectState, now_s: float
 ) -> set[EndpointId]:
-    book = gateway.suspects.tracker
-    if not book:
+    tracker = gateway.suspects.tracker
+    if not tracker:
         return set()
-    endpoints = book.probed_endpoints(now_s)
-    if standing is not SuspectState.CLEAR:
+    endpoints = tracker.probed_endpoints(now_s)
+    if suspect_state is not SuspectState.CLEAR:
         endpoints.update(gateway.suspects_in_flight.elements())
     return endpoints
 
 
 def _choose(
-    gateway: Gateway, exchange: Exchange, avoid: list[EndpointId], now_s: float
+    gateway: Gateway, exchange: Exchange, to_avoid: list[EndpointId], now_s: float
 ) -> Choice | None:
     table = gateway.routing_table
     assert table is not None
     service = table.services.get(exchange.service)
     connections = service.max_connections if service else 1
-    load_times = gateway.fleet_load_ratio(now_s)
+    load_ratio = gateway.fleet_load_ratio(now_s)
     return gateway.endpoints.choose(
-        exchange.need, load_times, connections, avoid, now_s
+        exchange.need, load_ratio, connections, to_avoid, now_s
     )
 
 
 async def begin_probe(gateway: Gateway, exchange: Exchange, endpoint: Endpoint) -> bool:
-    """Begin an isolated trial of a request.
+    """Begin a half-open probe: one entry sends the request, and no other does.
 
     The other entries are notified before the request is sent.
 
-    :return: whether this entry may run the trial.
+    :return: whether this entry may send the probe.
     """
     now_s = time.monotonic()
     fingerprint = exchange.fingerprint
-    trial = Probe(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
+    probe = Probe(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
     members = gateway.share_sync.members.live_peers(now_s)
     others = [member.entry_id for member in members]
-    if not await gateway.suspects.begin_probe(trial, others):
+    if not await gateway.suspects.begin_probe(probe, others):
         return False
     log_event(
         _log,
@@ -126,15 +126,15 @@
 
 
 def cancel_probe(gateway: Gateway, exchange: Exchange) -> None:
-    """End an inconclusive trial, so that another may begin."""
-    keeper = gateway.suspects
-    keeper.publish(keeper.tracker.cancel_probe(exchange.fingerprint))
+    """End an inconclusive probe, so that another may begin."""
+    suspects = gateway.suspects
+    suspects.publish(suspects.tracker.cancel_probe(exchange.fingerprint))
 
 
 def cancel_probe_later(gateway: Gateway, exchange: Exchange) -> None:
-    """End an interrupted trial once it is known whether the endpoint crashed.
+    """End an interrupted probe once it is known whether the endpoint crashed.
 
-    A crash that is found meanwhile ends the trial itself.
+    A crash that is detected meanwhile ends the probe itself.
     """
     loop = asyncio.get_running_loop()
     loop.call_later(CRASH_DETECTION_S, cancel_probe, gateway, exchange)
@@ -143,13 +143,15 @@
 def record_success(gateway: Gateway, exchange: Exchange) -> None:
     """Clear a request after a complete answer: it did not cause the crashes of other
     endpoints."""
-    keeper = gateway.suspects
-    if not keeper.tracker or not keeper.tracker.has_prefix(exchange.place):
+    suspects = gateway.suspects
+    if not suspects.tracker or not suspects.tracker.has_prefix(
+        exchange.fingerprint_prefix
+    ):
         return
-    findings = keeper.tracker.record_success(exchange.fingerprint, time.monotonic())
+    findings = suspects.tracker.record_success(exchange.fingerprint, time.monotonic())
     if findings.is_empty:
         return
-    keeper.publish(findings)
+    suspects.publish(findings)
     log_event(
         _log,
         Event.SUSPECT_CLEARED,
