--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -43,7 +43,7 @@
 
     sequence: int = 0
     draining: bool = False
-    gone: bool = False
+    removed: bool = False
 
 
 class RestoredFleet:
@@ -109,20 +109,20 @@
 
     def drain(self, name: str) -> None:
         """Have an endpoint announce that it leaves."""
-        if not self.log.unavailable and not self.replicas[name].gone:
+        if not self.log.unavailable and not self.replicas[name].removed:
             self.replicas[name].draining = True
             self._heartbeat(name)
 
     def leave(self, name: str) -> None:
         """Remove an endpoint's registration."""
-        if not self.log.unavailable and not self.replicas[name].gone:
-            self.replicas[name].gone = True
+        if not self.log.unavailable and not self.replicas[name].removed:
+            self.replicas[name].removed = True
             self.log.put(ENDPOINTS_TOPIC, name, b"")
 
     def restart(self, name: str) -> None:
         """Register an endpoint that left again, with a newer record."""
         if not self.log.unavailable:
-            self.replicas[name].draining = self.replicas[name].gone = False
+            self.replicas[name].draining = self.replicas[name].removed = False
             self._heartbeat(name)
 
     def restore_log(
@@ -360,7 +360,7 @@
         while True:
             await asyncio.sleep(1.0)
             for name, replica in self.replicas.items():
-                if not replica.gone and not self.log.unavailable:
+                if not replica.removed and not self.log.unavailable:
                     self._heartbeat(name)
 
     def _unpublished_tokens(self, instance: Instance) -> int:
@@ -376,7 +376,7 @@
 
     @staticmethod
     def _serves(replica: Replica) -> bool:
-        return not replica.draining and not replica.gone
+        return not replica.draining and not replica.removed
 
     def _last_sequences(self, instance: Instance) -> dict[str, int]:
         """Number of the last record read of each endpoint."""
--- a/tests/restored_site.py
+++ b/tests/restored_site.py
@@ -159,11 +159,11 @@
         backup = self.log.copy()
         await asyncio.sleep(BACKUP_BEFORE_S - WROTE_BEFORE_S)
         self.operator.write()
-        draining, gone = self.endpoints[2 * round_number : 2 * round_number + 2]
+        draining, removed = self.endpoints[2 * round_number : 2 * round_number + 2]
         self.register(draining, state="draining")
-        self.log.put(ENDPOINTS_TOPIC, gone.name, b"")
+        self.log.put(ENDPOINTS_TOPIC, removed.name, b"")
         await asyncio.sleep(LEAVING_KNOWN_S)
-        self.left_at |= {e.name: len(e.seen) for e in (draining, gone)}
+        self.left_at |= {e.name: len(e.seen) for e in (draining, removed)}
         await asyncio.sleep(WROTE_BEFORE_S - LEAVING_KNOWN_S)
         await self.log.restore_after(backup, UNAVAILABLE_S, rewrite_delay_s)
 
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -127,7 +127,7 @@
         ("another grace time", "{}".replace("{}", "{grace}")),
         ("half written", '[listen]\nfront = "127'),
         ("not UTF-8", b"node = \xff"),
-        ("taken away", None),
+        ("removed", None),
     )
     def test_reload_loses_no_request(self, name, text):
         """Guards against requests lost in a reload, whatever the settings hold."""
--- a/tests/test_hedged_store.py
+++ b/tests/test_hedged_store.py
@@ -67,7 +67,7 @@
         ([(0.004, REFUSED)], 1, 0.0, 0.04, REFUSED),
     )
     def test_call_without_an_answer_is_hedged(
-        self, answers, calls, least_s, most_s, result
+        self, answers, calls, min_s, max_s, result
     ):
         store = _Store(*answers)
         started_s = time.monotonic()
@@ -75,8 +75,8 @@
         took_s = time.monotonic() - started_s
         self.assertEqual(answer, result)
         self.assertEqual(store.calls, calls)
-        self.assertGreaterEqual(took_s, least_s)
-        self.assertLess(took_s, most_s)
+        self.assertGreaterEqual(took_s, min_s)
+        self.assertLess(took_s, max_s)
 
     def test_hedged_append_keeps_its_number(self):
         store = _Store(LOST, QUICK)
@@ -93,7 +93,7 @@
         ([SLOW], 18),
         ([LOST], 13),
     )
-    def test_number_of_calls_is_bounded(self, answers, most_calls):
+    def test_number_of_calls_is_bounded(self, answers, max_calls):
         store = _Store(*answers)
 
         async def twelve() -> None:
@@ -102,7 +102,7 @@
                 await hedged.read("t", 0)
 
         asyncio.run(twelve())
-        self.assertLessEqual(store.calls, most_calls)
+        self.assertLessEqual(store.calls, max_calls)
 
     def test_call_is_not_hedged_once_its_answer_arrives(self):
         store = _Store((0.3, ANSWER))
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -107,15 +107,15 @@
         Another entry had sent a long prompt to the same engine 30 to 110 ms before, and
         an entry knew only its own prompts.
         """
-        book = EndpointPool(Zone("z"), random.Random(1))
+        pool = EndpointPool(Zone("z"), random.Random(1))
         for name in ("i-home", "i-far"):
             zone = Zone("z" if name == "i-home" else "other")
             registration = Registration(
                 EndpointId(name), SERVICE, "127.0.0.1:1", zone, 64, False
             )
-            book.register(registration, 0.0)
-        book.add_peer_prefill(EndpointId("i-home"), 0.4, 0.0)
+            pool.register(registration, 0.0)
+        pool.add_peer_prefill(EndpointId("i-home"), 0.4, 0.0)
         need = RequestProfile(SERVICE, (("m/a", 500),))
-        chosen = book.choose(need, 2, 100, (), since_s)
+        chosen = pool.choose(need, 2, 100, (), since_s)
         self.assertIsNotNone(chosen)
         self.assertEqual(chosen.endpoint.endpoint_id, expected)
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -44,14 +44,14 @@
         self.assertLess(time.monotonic() - started_s, 0.5)
 
     def test_recovered_claim_counts_as_spent(self) -> None:
-        book = PrepaidBudgets(ME)
-        book.set_totals({T: 1_000})
-        book.fold(ME, {T: AccountClaim(claimed_tokens=100, used_tokens=50)}, Era(1))
-        book.merge_own_row({T: AccountClaim(claimed_tokens=400, used_tokens=300)})
-        book.merge_own_row({T: AccountClaim(claimed_tokens=200, used_tokens=350)})
-        book.adopt(None)
-        self.assertEqual(book.rows.own_row()[T].claimed_tokens, 400)
-        self.assertLessEqual(book.available_tokens(T, 0.0), 0)
+        budgets = PrepaidBudgets(ME)
+        budgets.set_totals({T: 1_000})
+        budgets.fold(ME, {T: AccountClaim(claimed_tokens=100, used_tokens=50)}, Era(1))
+        budgets.merge_own_row({T: AccountClaim(claimed_tokens=400, used_tokens=300)})
+        budgets.merge_own_row({T: AccountClaim(claimed_tokens=200, used_tokens=350)})
+        budgets.adopt(None)
+        self.assertEqual(budgets.rows.own_row()[T].claimed_tokens, 400)
+        self.assertLessEqual(budgets.available_tokens(T, 0.0), 0)
 
     def test_shares_survive_a_round_trip_and_bad_bytes_are_rejected(self) -> None:
         shares = {T: AccountClaim(claimed_tokens=5, used_tokens=2)}
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -76,12 +76,12 @@
         backup = log.copy()
         log.put(TOPIC, "a", b"2")
         await tail.load()
-        held = asyncio.create_task(tail.poll(1.0))
+        long_poll = asyncio.create_task(tail.poll(1.0))
         await asyncio.sleep(0.1)
         log.restore(backup)
         log.put(TOPIC, "b", b"1")
         log.put(TOPIC, "c", b"1")
-        self.assertTrue(await held)
+        self.assertTrue(await long_poll)
         self.assertEqual(known, {"a": b"1", "b": b"1", "c": b"1"})
 
 
@@ -125,13 +125,13 @@
         log = KeyedLog()
         client = await make_store_client(self, log)
         await client.read(TOPIC, 0)
-        held = asyncio.create_task(client.read(TOPIC, 0, 1.0))
+        long_poll = asyncio.create_task(client.read(TOPIC, 0, 1.0))
         await asyncio.sleep(0.1)
         log.era_text = lambda _: "2"
         await client.read(TOPIC, 0)
         log.era_text = lambda _: "1"
         log.put(TOPIC, "a", b"1")
-        error = (await held).failure()
+        error = (await long_poll).failure()
         self.assertIs(error.kind, StoreErrorKind.OLDER_ERA)
 
 
--- a/tests/test_share_sync.py
+++ b/tests/test_share_sync.py
@@ -47,7 +47,7 @@
         (TOTAL, 0.0, ROW_WAIT_S / 2),
         (TOTAL // 2, ROW_WAIT_S * 0.9, 1.0),
     )
-    def test_no_wait_for_a_row_that_cannot_claim_more(self, held, least_s, most_s):
+    def test_no_wait_for_a_row_that_cannot_claim_more(self, held, min_s, max_s):
         """Guards against first tokens that came too late for a tenth of the long
         prompts, though engines and other entries had capacity.
 
@@ -62,8 +62,8 @@
         )
         self.assertIsNotNone(reservation)
         waited_s = peers.asked_s[0] - started_s
-        self.assertGreaterEqual(waited_s, least_s)
-        self.assertLess(waited_s, most_s)
+        self.assertGreaterEqual(waited_s, min_s)
+        self.assertLess(waited_s, max_s)
 
 
 class StalledPeerTest(unittest.IsolatedAsyncioTestCase):
