--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -280,17 +280,17 @@
     # -- internals ---------------------------------------------------------
 
     def _candidates(self, service: ServiceName, now_s: float) -> list[Endpoint]:
-        known = [
+        active = [
             e
             for e in self._endpoints.values()
             if e.registration.service == service and not e.registration.draining
         ]
-        registered = [e for e in known if e.deregistered_at_s is None]
+        registered = [e for e in active if e.deregistered_at_s is None]
         if registered:
             return registered
         return [
             e
-            for e in known
+            for e in active
             if e.deregistered_at_s is not None
             and now_s - e.deregistered_at_s < DEREGISTERED_GRACE_S
         ]
--- a/src/celerytrack/member.py
+++ b/src/celerytrack/member.py
@@ -67,18 +67,18 @@
         return self.started_s + self.clock_offset_s
 
 
-def is_older_row(row: Member, known: Member) -> bool:
-    """Whether ``known`` was written after ``row``, a row of the same entry.
+def is_older_row(row: Member, other: Member) -> bool:
+    """Whether ``other`` was written after ``row``, a row of the same entry.
 
     A log restored from an older backup holds older rows than were read before. They
     could show a leaving entry as serving, or have the address of an earlier
     incarnation.
     """
-    if row.era is not None and known.era is not None and row.era != known.era:
-        return row.era < known.era
-    if row.started_s == known.started_s:
-        return row.made_s < known.made_s
-    return row.epoch < known.epoch
+    if row.era is not None and other.era is not None and row.era != other.era:
+        return row.era < other.era
+    if row.started_s == other.started_s:
+        return row.made_s < other.made_s
+    return row.epoch < other.epoch
 
 
 def rows_of_other_eras(rows: Iterable[Member], era: Era | None) -> dict[EntryId, Era]:
--- a/src/celerytrack/suspect_logs.py
+++ b/src/celerytrack/suspect_logs.py
@@ -13,6 +13,6 @@
         Event.SUSPECT_SHUT_OUT,
         logging.WARNING,
         fingerprint=suspect.fingerprint.hex(),
-        endings=[ending.endpoint_id for ending in suspect.crashes],
+        endings=[crash.endpoint_id for crash in suspect.crashes],
         free_in_s=suspect.quarantine_left_s,
     )
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -33,21 +33,21 @@
     return Registration(EndpointId(name), service, address, zone, slots, draining)
 
 
-def _book(*registrations):
-    book = EndpointPool(HERE, random.Random(1))
+def _pool(*registrations):
+    pool = EndpointPool(HERE, random.Random(1))
     for registration in registrations:
-        book.register(registration, 0.0)
-    return book
+        pool.register(registration, 0.0)
+    return pool
 
 
-def _choose(book, need=None, now_s=1.0, avoid=()):
-    got = book.choose(need or RequestProfile(S), 1, 100, list(avoid), now_s)
+def _choose(pool, need=None, now_s=1.0, avoid=()):
+    got = pool.choose(need or RequestProfile(S), 1, 100, list(avoid), now_s)
     return got.endpoint.endpoint_id if got else None
 
 
-def _send(book, endpoint, need, now_s):
+def _send(pool, endpoint, need, now_s):
     work_s = prefill_s(need.prompt_tokens, need.prompt_tokens)
-    return book.record_dispatch(Choice(endpoint, 0.1, work_s), need, now_s)
+    return pool.record_dispatch(Choice(endpoint, 0.1, work_s), need, now_s)
 
 
 DRAINS = attrs.evolve(_reg("a", draining=True), born_ms=1)
@@ -56,40 +56,40 @@
 
 class ChoiceTest(unittest.TestCase):
     def test_a_draining_endpoint_is_not_chosen(self):
-        book = _book(_reg("a", draining=True), _reg("b", THERE))
-        self.assertEqual(_choose(book), "b")
+        pool = _pool(_reg("a", draining=True), _reg("b", THERE))
+        self.assertEqual(_choose(pool), "b")
 
     def test_an_endpoint_of_another_service_is_not_chosen(self):
-        book = _book(_reg("a", service=ServiceName("other")))
-        self.assertIsNone(_choose(book))
+        pool = _pool(_reg("a", service=ServiceName("other")))
+        self.assertIsNone(_choose(pool))
 
     def test_the_own_failure_domain_is_preferred(self):
-        book = _book(_reg("a", THERE), _reg("b", HERE))
-        self.assertEqual(_choose(book), "b")
+        pool = _pool(_reg("a", THERE), _reg("b", HERE))
+        self.assertEqual(_choose(pool), "b")
 
     @params((0.5, "b"), (3.0, "a"))
     def test_an_endpoint_is_avoided_while_it_warms_up(self, now_s, expected):
         cold = attrs.evolve(_reg("a"), cold_s=2.0)
-        book = _book(cold, _reg("b", THERE))
-        self.assertEqual(_choose(book, now_s=now_s), expected)
+        pool = _pool(cold, _reg("b", THERE))
+        self.assertEqual(_choose(pool, now_s=now_s), expected)
 
     def test_all_entries_agree_on_the_home_of_a_session(self):
         names = [f"r{i}" for i in range(6)]
         homes = set()
         for seed in range(5):
-            book = EndpointPool(HERE, random.Random(seed))
+            pool = EndpointPool(HERE, random.Random(seed))
             for name in random.Random(seed).sample(names, 6):
-                book.register(_reg(name), 0.0)
-            homes.add(_choose(book, PROMPT))
+                pool.register(_reg(name), 0.0)
+            homes.add(_choose(pool, PROMPT))
         self.assertEqual(len(homes), 1)
 
     def test_another_engine_is_chosen_when_the_home_is_busy(self):
-        book = _book(*(_reg(f"r{i}") for i in range(4)))
-        home = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
+        pool = _pool(*(_reg(f"r{i}") for i in range(4)))
+        home = pool.choose(PROMPT, 1, 100, [], 1.0).endpoint
         for i in range(8):
             need = RequestProfile(S, ((f"m/x{i}", 9_000), (f"m/x{i}/y", 9_000)))
-            _send(book, home, need, 1.0)
-        self.assertNotEqual(_choose(book, PROMPT), home.endpoint_id)
+            _send(pool, home, need, 1.0)
+        self.assertNotEqual(_choose(pool, PROMPT), home.endpoint_id)
 
     def test_shared_parts_count_as_cached_at_the_home(self):
         """Long prompts of active sessions left their homes, and their shared parts were
@@ -100,10 +100,10 @@
         although the home prefills only the new part. The home looked busy for five
         times too long.
         """
-        book = _book(*(_reg(f"r{i}") for i in range(4)))
-        choice = book.choose(PROMPT, 1, 100, [], 1.0)
+        pool = _pool(*(_reg(f"r{i}") for i in range(4)))
+        choice = pool.choose(PROMPT, 1, 100, [], 1.0)
         self.assertAlmostEqual(choice.work_s, prefill_s(600, 6_100))
-        sent = book.record_dispatch(choice, PROMPT, 1.0)
+        sent = pool.record_dispatch(choice, PROMPT, 1.0)
         self.assertEqual(sent.work_s, choice.work_s)
 
     def test_a_few_running_requests_do_not_outweigh_the_home(self):
@@ -114,63 +114,63 @@
         parts again, because a running request weighed as much as 50 prompt tokens for
         each entry.
         """
-        book = _book(*(_reg(f"r{i}", slots=64) for i in range(4)))
+        pool = _pool(*(_reg(f"r{i}", slots=64) for i in range(4)))
         short = RequestProfile(S, (("m/a", 119), ("m/a/b", 79), ("m/a/b/c", 400)))
-        home = book.choose(short, 6, 360, [], 1.0).endpoint
+        home = pool.choose(short, 6, 360, [], 1.0).endpoint
         for i in range(3):
-            sent = _send(book, home, RequestProfile(S, ((f"m/o{i}", 100),)), 1.0)
+            sent = _send(pool, home, RequestProfile(S, ((f"m/o{i}", 100),)), 1.0)
             sent.record_first_output(1.01)
-        chosen = book.choose(short, 6, 360, [], 1.1).endpoint
+        chosen = pool.choose(short, 6, 360, [], 1.1).endpoint
         self.assertEqual(chosen.endpoint_id, home.endpoint_id)
 
     def test_a_cached_prompt_needs_no_prefill(self):
-        book = _book(_reg("a"), _reg("b"))
-        first = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
-        sent = _send(book, first, PROMPT, 1.0)
+        pool = _pool(_reg("a"), _reg("b"))
+        first = pool.choose(PROMPT, 1, 100, [], 1.0).endpoint
+        sent = _send(pool, first, PROMPT, 1.0)
         sent.record_first_output(1.1)
         sent.finish(1.2, False)
         self.assertEqual(first.uncached_tokens(PROMPT, False, 2.0), 0)
 
     def test_endpoints_tried_before_are_not_chosen(self):
-        book = _book(_reg("a"), _reg("b"))
-        self.assertEqual(_choose(book, avoid=["a"]), "b")
+        pool = _pool(_reg("a"), _reg("b"))
+        self.assertEqual(_choose(pool, avoid=["a"]), "b")
 
 
 class EjectionTest(unittest.TestCase):
     def test_an_unreachable_endpoint_is_ejected_and_comes_back(self):
-        book = _book(_reg("a"), _reg("b", THERE))
-        endpoint = book.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
-        book.record_failure(endpoint, True, 1.0)
-        self.assertEqual(_choose(book, now_s=1.0 + MIN_EJECTION_S / 2), "b")
-        other = book.choose(RequestProfile(S), 1, 100, ["a"], 1.0).endpoint
+        pool = _pool(_reg("a"), _reg("b", THERE))
+        endpoint = pool.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
+        pool.record_failure(endpoint, True, 1.0)
+        self.assertEqual(_choose(pool, now_s=1.0 + MIN_EJECTION_S / 2), "b")
+        other = pool.choose(RequestProfile(S), 1, 100, ["a"], 1.0).endpoint
         for _ in range(4):
-            _send(book, other, RequestProfile(S), 1.0)
-        self.assertEqual(_choose(book, now_s=1.0 + MIN_EJECTION_S / 2), "b")
-        self.assertEqual(_choose(book, now_s=1.0 + 2 * MIN_EJECTION_S), "a")
+            _send(pool, other, RequestProfile(S), 1.0)
+        self.assertEqual(_choose(pool, now_s=1.0 + MIN_EJECTION_S / 2), "b")
+        self.assertEqual(_choose(pool, now_s=1.0 + 2 * MIN_EJECTION_S), "a")
 
     def test_an_endpoint_with_a_grey_failure_is_ejected(self):
-        book = _book(_reg("a"), _reg("b", THERE))
-        grey = book.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
+        pool = _pool(_reg("a"), _reg("b", THERE))
+        grey = pool.choose(RequestProfile(S), 1, 100, [], 1.0).endpoint
         for _ in range(10):
-            book.record_failure(grey, False, 1.0)
-        self.assertEqual(_choose(book, now_s=1.1), "b")
+            pool.record_failure(grey, False, 1.0)
+        self.assertEqual(_choose(pool, now_s=1.1), "b")
 
     def test_a_service_that_fails_evenly_loses_no_endpoint(self):
         """A healthy service whose answers are often failures by nature (a seat that is
         taken) had its endpoints ejected one after the other, because the failure rate
         of an endpoint was not compared with those of its peers.
         """
-        book = _book(_reg("a"), _reg("b"))
+        pool = _pool(_reg("a"), _reg("b"))
         both = [
-            book.choose(RequestProfile(S), 1, 100, avoid, 1.0).endpoint
+            pool.choose(RequestProfile(S), 1, 100, avoid, 1.0).endpoint
             for avoid in ([], ["a"])
         ]
-        both.append(book.choose(RequestProfile(S), 1, 100, ["b"], 1.0).endpoint)
+        both.append(pool.choose(RequestProfile(S), 1, 100, ["b"], 1.0).endpoint)
         for _ in range(4):
             for endpoint in set(map(id, both)):
                 target = next(e for e in both if id(e) == endpoint)
-                book.record_failure(target, False, 1.0)
-        self.assertIsNotNone(_choose(book, now_s=1.1))
+                pool.record_failure(target, False, 1.0)
+        self.assertIsNotNone(_choose(pool, now_s=1.1))
 
 
 def _start(born_ms, sequence=1, **fields):
@@ -187,13 +187,13 @@
         empty cache and no requests. The entry told processes apart only by id, and kept
         the cached parts, running requests, failures and slowness of the old process.
         """
-        book = _book(_start(1_000))
-        before = book.choose(PROMPT, 1, 100, [], 0.0).endpoint
-        sent = _send(book, before, PROMPT, 0.0)
+        pool = _pool(_start(1_000))
+        before = pool.choose(PROMPT, 1, 100, [], 0.0).endpoint
+        sent = _send(pool, before, PROMPT, 0.0)
         before.slowness = 5.0
-        book.record_failure(before, True, 0.5)
-        self.assertIs(book.register(_start(2_000), 1.0), RegistrationChange.RESTARTED)
-        now = book.choose(PROMPT, 1, 100, [], 1.0).endpoint
+        pool.record_failure(before, True, 0.5)
+        self.assertIs(pool.register(_start(2_000), 1.0), RegistrationChange.RESTARTED)
+        now = pool.choose(PROMPT, 1, 100, [], 1.0).endpoint
         self.assertIsNot(now, before)
         self.assertEqual(
             (now.running, now.consecutive_failures, now.slowness), (0, 0, 1.0)
@@ -213,17 +213,17 @@
         (_start(0, 3), _start(1_000, 4), RegistrationChange.SAME),
     )
     def test_the_order_of_records(self, known, read, expected):
-        book = _book(known)
-        self.assertIs(book.register(read, 1.0), expected)
+        pool = _pool(known)
+        self.assertIs(pool.register(read, 1.0), expected)
 
     def test_a_late_record_does_not_reactivate_a_draining_endpoint(self):
         """New requests reached a draining endpoint: it writes ``ready``, then
         ``draining``, the first record lands after the second, and the last one read
         counted.
         """
-        book = _book(_start(1_000, 4, draining=True))
-        book.register(_start(1_000, 3), 1.0)
-        self.assertIsNone(_choose(book))
+        pool = _pool(_start(1_000, 4, draining=True))
+        pool.register(_start(1_000, 3), 1.0)
+        self.assertIsNone(_choose(pool))
 
     def test_a_late_record_does_not_register_a_removed_endpoint(self):
         """Requests were sent to a process that was gone.
@@ -231,11 +231,11 @@
         An endpoint restarts, leaves for good and is removed; then a record of its first
         process lands. The last record of an id was removed together with it.
         """
-        book = _book(_start(2_000, 5))
-        book.mark_deregistered(EndpointId("a"), 1.0)
-        book.evict_deregistered(1.0 + 2 * DEREGISTERED_GRACE_S)
-        self.assertIs(book.register(_start(1_000, 9), 9.0), RegistrationChange.STALE)
-        self.assertIsNone(_choose(book, now_s=9.0))
+        pool = _pool(_start(2_000, 5))
+        pool.mark_deregistered(EndpointId("a"), 1.0)
+        pool.evict_deregistered(1.0 + 2 * DEREGISTERED_GRACE_S)
+        self.assertIs(pool.register(_start(1_000, 9), 9.0), RegistrationChange.STALE)
+        self.assertIsNone(_choose(pool, now_s=9.0))
 
 
 class AvailabilityTest(unittest.TestCase):
@@ -256,10 +256,10 @@
     def test_a_chosen_endpoint_is_available_unless_it_left(self, _, act, available):
         """A probe was sent to an endpoint that had left while the probe was announced
         to the other entries."""
-        book = _book(attrs.evolve(_reg("a"), born_ms=1))
-        chosen = book.choose(RequestProfile(S), 1, 100, [], 0.0)
-        act(book)
-        self.assertEqual(book.is_available(chosen.endpoint), available)
+        pool = _pool(attrs.evolve(_reg("a"), born_ms=1))
+        chosen = pool.choose(RequestProfile(S), 1, 100, [], 0.0)
+        act(pool)
+        self.assertEqual(pool.is_available(chosen.endpoint), available)
 
 
 class LapsedRegistrationTest(unittest.TestCase):
@@ -271,20 +271,20 @@
     """
 
     def test_the_only_endpoint_is_used_for_the_grace_period(self):
-        book = _book(_reg("a"))
-        book.mark_deregistered(EndpointId("a"), 1.0)
-        self.assertEqual(_choose(book, now_s=1.0 + DEREGISTERED_GRACE_S / 2), "a")
-        self.assertIsNone(_choose(book, now_s=1.1 + DEREGISTERED_GRACE_S))
+        pool = _pool(_reg("a"))
+        pool.mark_deregistered(EndpointId("a"), 1.0)
+        self.assertEqual(_choose(pool, now_s=1.0 + DEREGISTERED_GRACE_S / 2), "a")
+        self.assertIsNone(_choose(pool, now_s=1.1 + DEREGISTERED_GRACE_S))
 
     def test_an_endpoint_with_an_unusable_record_has_no_grace_period(self):
-        book = _book(_reg("a"))
-        book.deregister_now(EndpointId("a"), 1.0)
-        self.assertIsNone(_choose(book, now_s=1.0))
+        pool = _pool(_reg("a"))
+        pool.deregister_now(EndpointId("a"), 1.0)
+        self.assertIsNone(_choose(pool, now_s=1.0))
 
     def test_a_registered_endpoint_is_preferred(self):
-        book = _book(_reg("a"), _reg("b", THERE))
-        book.mark_deregistered(EndpointId("a"), 1.0)
-        self.assertEqual(_choose(book, now_s=1.1), "b")
+        pool = _pool(_reg("a"), _reg("b", THERE))
+        pool.mark_deregistered(EndpointId("a"), 1.0)
+        self.assertEqual(_choose(pool, now_s=1.1), "b")
 
 
 def _route(prefix, host="h", services=((S, 1.0),)):
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -38,20 +38,20 @@
 V2 = "s v2"
 
 
-def _ending(number: int, build: str = V1) -> Crash:
+def _crash(number: int, build: str = V1) -> Crash:
     return Crash(EndpointId(f"i-{number}"), 0, build)
 
 
-def _book(
-    endings: int, fingerprint: Fingerprint = BAD, at_s: float = 0.0
+def _tracker(
+    crashes: int, fingerprint: Fingerprint = BAD, at_s: float = 0.0
 ) -> SuspectTracker:
-    book = SuspectTracker(ME)
-    for number in range(endings):
-        book.record_crash(_ending(number), [fingerprint], at_s)
-    return book
+    tracker = SuspectTracker(ME)
+    for number in range(crashes):
+        tracker.record_crash(_crash(number), [fingerprint], at_s)
+    return tracker
 
 
-class StandingTest(unittest.TestCase):
+class StateTest(unittest.TestCase):
     @params(
         (0, SuspectState.CLEAR),
         (1, SuspectState.WATCHED),
@@ -60,54 +60,54 @@
         (6, SuspectState.QUARANTINED),
     )
     def test_the_state_follows_the_number_of_crashes(
-        self, endings: int, state: SuspectState
+        self, crashes: int, state: SuspectState
     ) -> None:
-        self.assertEqual(_book(endings).state_of(BAD, {V1}, 1.0), state)
+        self.assertEqual(_tracker(crashes).state_of(BAD, {V1}, 1.0), state)
 
     def test_a_crash_reported_by_several_entries_counts_once(self) -> None:
-        book = _book(1)
+        tracker = _tracker(1)
         for entry in "abc":
-            seen = (Evidence(BAD, _ending(0)),)
-            book.merge(Findings(EntryId(entry), seen), False, 1.0)
-        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.WATCHED)
+            found = (Evidence(BAD, _crash(0)),)
+            tracker.merge(Findings(EntryId(entry), found), False, 1.0)
+        self.assertEqual(tracker.state_of(BAD, {V1}, 1.0), SuspectState.WATCHED)
 
     def test_crashes_of_restarts_under_one_id_all_count(self) -> None:
-        book = SuspectTracker(ME)
+        tracker = SuspectTracker(ME)
         for born_ms in (1, 2, 3):
-            ending = Crash(EndpointId("i-0"), born_ms, V1)
-            book.record_crash(ending, [BAD], 0.0)
-        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+            crash = Crash(EndpointId("i-0"), born_ms, V1)
+            tracker.record_crash(crash, [BAD], 0.0)
+        self.assertEqual(tracker.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_evidence_of_several_entries_adds_up(self) -> None:
         """Many entries that each sent the request once crashed more endpoints than the
         limit allows."""
-        book = SuspectTracker(ME)
+        tracker = SuspectTracker(ME)
         for number in range(3):
-            seen = (Evidence(BAD, _ending(number)),)
-            book.merge(Findings(EntryId(f"x{number}"), seen), False, 0.0)
-        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+            found = (Evidence(BAD, _crash(number)),)
+            tracker.merge(Findings(EntryId(f"x{number}"), found), False, 0.0)
+        self.assertEqual(tracker.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
 
     def test_two_crashing_requests_are_quarantined_and_a_successful_one_is_not(
         self,
     ) -> None:
         """A harmless request that ran beside two crashing ones was suspected too."""
-        book = SuspectTracker(ME)
+        tracker = SuspectTracker(ME)
         worse = fingerprint_of(PREFIX, b"worse")
         for number in range(3):
-            book.record_crash(_ending(number), [BAD, worse, GOOD], 0.0)
-            book.record_success(GOOD, 0.1)
+            tracker.record_crash(_crash(number), [BAD, worse, GOOD], 0.0)
+            tracker.record_success(GOOD, 0.1)
         for fingerprint in (BAD, worse):
             self.assertEqual(
-                book.state_of(fingerprint, {V1}, 1.0), SuspectState.QUARANTINED
+                tracker.state_of(fingerprint, {V1}, 1.0), SuspectState.QUARANTINED
             )
-        self.assertEqual(book.state_of(GOOD, {V1}, 1.0), SuspectState.CLEAR)
+        self.assertEqual(tracker.state_of(GOOD, {V1}, 1.0), SuspectState.CLEAR)
 
     def test_cleared_evidence_stays_cleared_when_it_is_reported_again(self) -> None:
-        book = _book(2)
-        book.record_success(BAD, 1.0)
-        seen = tuple(Evidence(BAD, _ending(n)) for n in range(2))
-        book.merge(Findings(OTHER, seen), True, 2.0)
-        self.assertEqual(book.state_of(BAD, {V1}, 2.0), SuspectState.CLEAR)
+        tracker = _tracker(2)
+        tracker.record_success(BAD, 1.0)
+        found = tuple(Evidence(BAD, _crash(n)) for n in range(2))
+        tracker.merge(Findings(OTHER, found), True, 2.0)
+        self.assertEqual(tracker.state_of(BAD, {V1}, 2.0), SuspectState.CLEAR)
 
 
 class QuarantineEndTest(unittest.TestCase):
@@ -117,22 +117,22 @@
         (5, QUARANTINE_PERIODS_S[2]),
     )
     def test_each_further_crash_extends_the_quarantine(
-        self, endings: int, lasts_s: float
+        self, crashes: int, lasts_s: float
     ) -> None:
-        book = _book(endings)
-        self.assertEqual(book.retry_after_s(BAD, 0.0), lasts_s)
-        early = book.state_of(BAD, {V1}, lasts_s - 0.1)
+        tracker = _tracker(crashes)
+        self.assertEqual(tracker.retry_after_s(BAD, 0.0), lasts_s)
+        early = tracker.state_of(BAD, {V1}, lasts_s - 0.1)
         self.assertEqual(early, SuspectState.QUARANTINED)
-        self.assertEqual(book.state_of(BAD, {V1}, lasts_s), SuspectState.PROBE_ONLY)
+        self.assertEqual(tracker.state_of(BAD, {V1}, lasts_s), SuspectState.PROBE_ONLY)
 
     def test_after_three_probes_only_an_operator_ends_the_quarantine(self) -> None:
         """Probes of a request that is known to crash endpoints went on for ever."""
-        book = _book(6)
-        self.assertIsNone(book.retry_after_s(BAD, 1e9))
-        self.assertEqual(book.state_of(BAD, {V1}, 1e9), SuspectState.QUARANTINED)
-        self.assertEqual(book.state_of(BAD, {V2}, 1e9), SuspectState.QUARANTINED)
-        book.record_success(BAD, 1e9)
-        self.assertEqual(book.state_of(BAD, {V1}, 1e9), SuspectState.CLEAR)
+        tracker = _tracker(6)
+        self.assertIsNone(tracker.retry_after_s(BAD, 1e9))
+        self.assertEqual(tracker.state_of(BAD, {V1}, 1e9), SuspectState.QUARANTINED)
+        self.assertEqual(tracker.state_of(BAD, {V2}, 1e9), SuspectState.QUARANTINED)
+        tracker.record_success(BAD, 1e9)
+        self.assertEqual(tracker.state_of(BAD, {V1}, 1e9), SuspectState.CLEAR)
 
     @params(
         ({V2}, SuspectState.PROBE_ONLY),
@@ -142,12 +142,12 @@
     def test_a_probe_is_allowed_once_all_builds_differ(
         self, builds: set[str], state: SuspectState
     ) -> None:
-        self.assertEqual(_book(3).state_of(BAD, builds, 1.0), state)
+        self.assertEqual(_tracker(3).state_of(BAD, builds, 1.0), state)
 
     def test_a_crash_of_another_build_quarantines_again(self) -> None:
-        book = _book(3)
-        book.record_crash(_ending(9, V2), [BAD], 1.0)
-        self.assertEqual(book.state_of(BAD, {V2}, 2.0), SuspectState.QUARANTINED)
+        tracker = _tracker(3)
+        tracker.record_crash(_crash(9, V2), [BAD], 1.0)
+        self.assertEqual(tracker.state_of(BAD, {V2}, 2.0), SuspectState.QUARANTINED)
 
 
 class ProbeTest(unittest.TestCase):
@@ -155,91 +155,91 @@
         return Probe(BAD, EndpointId("i-9"), lasts_s)
 
     def test_one_entry_at_a_time_probes_a_request(self) -> None:
-        book = _book(2)
-        self.assertIsNotNone(book.begin_probe(self._probe(), 0.0))
-        self.assertIsNone(book.begin_probe(self._probe(), 1.0))
-        book.cancel_probe(BAD)
-        self.assertIsNotNone(book.begin_probe(self._probe(), 2.0))
+        tracker = _tracker(2)
+        self.assertIsNotNone(tracker.begin_probe(self._probe(), 0.0))
+        self.assertIsNone(tracker.begin_probe(self._probe(), 1.0))
+        tracker.cancel_probe(BAD)
+        self.assertIsNotNone(tracker.begin_probe(self._probe(), 2.0))
 
     def test_a_probe_of_an_entry_that_is_gone_expires(self) -> None:
-        book = _book(2)
-        book.merge(Findings(OTHER, probes=(self._probe(),)), False, 0.0)
-        self.assertIsNone(book.begin_probe(self._probe(), 4.9))
-        self.assertIsNotNone(book.begin_probe(self._probe(), 5.0))
+        tracker = _tracker(2)
+        tracker.merge(Findings(OTHER, probes=(self._probe(),)), False, 0.0)
+        self.assertIsNone(tracker.begin_probe(self._probe(), 4.9))
+        self.assertIsNotNone(tracker.begin_probe(self._probe(), 5.0))
 
     @params((EntryId("a"), False), (EntryId("z"), True))
     def test_of_two_concurrent_probes_the_lower_entry_id_wins(
         self, other: EntryId, wins: bool
     ) -> None:
-        book = _book(2)
-        book.begin_probe(self._probe(), 0.0)
-        book.merge(Findings(other, probes=(self._probe(),)), False, 0.001)
-        self.assertEqual(book.is_probing(BAD), wins)
+        tracker = _tracker(2)
+        tracker.begin_probe(self._probe(), 0.0)
+        tracker.merge(Findings(other, probes=(self._probe(),)), False, 0.001)
+        self.assertEqual(tracker.is_probing(BAD), wins)
 
     @params(
         (
             "its endpoint crashed",
-            lambda b: b.record_crash(Crash(EndpointId("i-9")), [BAD], 1),
+            lambda t: t.record_crash(Crash(EndpointId("i-9")), [BAD], 1),
         ),
-        ("the request succeeded", lambda b: b.record_success(BAD, 1.0)),
-        ("its record no longer lists it", lambda b: b.merge(Findings(ME), True, 1.0)),
+        ("the request succeeded", lambda t: t.record_success(BAD, 1.0)),
+        ("its record no longer lists it", lambda t: t.merge(Findings(ME), True, 1.0)),
     )
     def test_a_probe_is_over_when(self, _: str, act: object) -> None:
-        book = _book(2)
-        book.begin_probe(self._probe(), 0.0)
-        act(book)  # type: ignore[operator]
-        self.assertFalse(book.is_probing(BAD))
-        self.assertEqual(book.probed_endpoints(1.0), set())
+        tracker = _tracker(2)
+        tracker.begin_probe(self._probe(), 0.0)
+        act(tracker)  # type: ignore[operator]
+        self.assertFalse(tracker.is_probing(BAD))
+        self.assertEqual(tracker.probed_endpoints(1.0), set())
 
 
 class ExpiryTest(unittest.TestCase):
     def test_a_suspect_expires_and_a_quarantined_request_does_not(
         self,
     ) -> None:
-        book = _book(3)
-        book.record_crash(_ending(0), [GOOD], 0.0)
-        book.expire(SUSPECT_TTL_S + 1)
-        self.assertEqual(len(book), 1)
-        self.assertTrue(book.has_prefix(prefix_in(BAD)))
+        tracker = _tracker(3)
+        tracker.record_crash(_crash(0), [GOOD], 0.0)
+        tracker.expire(SUSPECT_TTL_S + 1)
+        self.assertEqual(len(tracker), 1)
+        self.assertTrue(tracker.has_prefix(prefix_in(BAD)))
 
     def test_probes_of_entries_that_are_gone_are_removed(self) -> None:
         """Probes that were never ended stayed in memory and were scanned for each
         request."""
-        book = _book(2)
-        trials = tuple(
+        tracker = _tracker(2)
+        probes = tuple(
             Probe(fingerprint_of(PREFIX, b"%d" % n), EndpointId("i-9"), 5.0)
             for n in range(100)
         )
-        book.merge(Findings(OTHER, probes=trials), False, 0.0)
-        book.expire(4.0)
-        self.assertEqual(len(book._probes), 100)
-        book.expire(6.0)
-        self.assertEqual(len(book._probes), 0)
+        tracker.merge(Findings(OTHER, probes=probes), False, 0.0)
+        tracker.expire(4.0)
+        self.assertEqual(len(tracker._probes), 100)
+        tracker.expire(6.0)
+        self.assertEqual(len(tracker._probes), 0)
 
     def test_eviction_keeps_the_requests_with_most_crashes(self) -> None:
-        book = _book(3)
+        tracker = _tracker(3)
         many = [
             fingerprint_of(FingerprintPrefix(b"other!"), b"%d" % n)
             for n in range(MAX_SUSPECTS)
         ]
-        book.record_crash(_ending(7), many, 1.0)
-        self.assertLessEqual(len(book), MAX_SUSPECTS)
-        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
-        record = book.own_findings(1.0)
+        tracker.record_crash(_crash(7), many, 1.0)
+        self.assertLessEqual(len(tracker), MAX_SUSPECTS)
+        self.assertEqual(tracker.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        record = tracker.own_findings(1.0)
         self.assertEqual(len(record.evidence), MAX_PUBLISHED)
         self.assertIn(BAD, {evidence.fingerprint for evidence in record.evidence})
 
     def test_findings_survive_a_restart_of_the_entry(self) -> None:
-        previous = _book(3)
-        book = SuspectTracker(ME)
-        book.restore_own(previous.own_findings(1.0), 0.0)
-        self.assertEqual(book.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
-        self.assertEqual(book.own_findings(1.0), previous.own_findings(1.0))
+        previous = _tracker(3)
+        tracker = SuspectTracker(ME)
+        tracker.restore_own(previous.own_findings(1.0), 0.0)
+        self.assertEqual(tracker.state_of(BAD, {V1}, 1.0), SuspectState.QUARANTINED)
+        self.assertEqual(tracker.own_findings(1.0), previous.own_findings(1.0))
 
     def test_clearing_a_single_crash_is_not_reported(self) -> None:
-        book = _book(1)
-        self.assertTrue(book.record_success(BAD, 1.0).is_empty)
-        self.assertTrue(book.own_findings(1.0).is_empty)
+        tracker = _tracker(1)
+        self.assertTrue(tracker.record_success(BAD, 1.0).is_empty)
+        self.assertTrue(tracker.own_findings(1.0).is_empty)
 
 
 _EVIDENCE = st.tuples(st.sampled_from((BAD, GOOD)), st.integers(0, 4))
@@ -248,29 +248,29 @@
 class OrderTest(unittest.TestCase):
     @settings(max_examples=200, deadline=None)
     @given(
-        seen=st.lists(_EVIDENCE, max_size=12),
-        forgiven=st.lists(_EVIDENCE, max_size=4),
+        evidence=st.lists(_EVIDENCE, max_size=12),
+        cleared=st.lists(_EVIDENCE, max_size=4),
         seed=st.integers(0, 1_000),
     )
     def test_the_state_does_not_depend_on_the_order_of_findings(
         self,
-        seen: list[tuple[Fingerprint, int]],
-        forgiven: list[tuple[Fingerprint, int]],
+        evidence: list[tuple[Fingerprint, int]],
+        cleared: list[tuple[Fingerprint, int]],
         seed: int,
     ) -> None:
-        """Notes arrive late or twice; entries must still reach the same state."""
-        sent = [Findings(OTHER, evidence=(Evidence(f, _ending(n)),)) for f, n in seen]
-        sent += [
-            Findings(OTHER, cleared=(Evidence(f, _ending(n)),)) for f, n in forgiven
+        """Peer messages that arrive late or twice must not change the state."""
+        sent = [
+            Findings(OTHER, evidence=(Evidence(f, _crash(n)),)) for f, n in evidence
         ]
+        sent += [Findings(OTHER, cleared=(Evidence(f, _crash(n)),)) for f, n in cleared]
         shuffled = [*sent, *sent[::2]]
         random.Random(seed).shuffle(shuffled)
-        books = (SuspectTracker(ME), SuspectTracker(ME))
-        for book, findings in zip(books, (sent, shuffled), strict=True):
+        trackers = (SuspectTracker(ME), SuspectTracker(ME))
+        for tracker, findings in zip(trackers, (sent, shuffled), strict=True):
             for one in findings:
-                book.merge(one, False, 0.0)
+                tracker.merge(one, False, 0.0)
         for fingerprint in (BAD, GOOD):
-            states = {book.state_of(fingerprint, {V1}, 1.0) for book in books}
+            states = {tracker.state_of(fingerprint, {V1}, 1.0) for tracker in trackers}
             self.assertEqual(len(states), 1)
 
 
@@ -278,7 +278,7 @@
     def test_findings_survive_encoding(self) -> None:
         findings = Findings(
             ME,
-            (Evidence(BAD, _ending(1)),),
+            (Evidence(BAD, _crash(1)),),
             (Evidence(GOOD, Crash(EndpointId("i-2"), 7, V2)),),
             (Probe(BAD, EndpointId("i-3"), 2.5),),
             (1_700_000_000,),
