--- a/bench/crash_bench.py
+++ b/bench/crash_bench.py
@@ -1,11 +1,11 @@
-"""How many endpoints one request ends, in modelled time.
+"""Number of endpoints that one request crashes, in modelled time.
 
 ``python -m bench.crash_bench [--entries 9,76,195] [--seeds 20] [--only NAME]
-[--jobs 4] [--json FILE] [--against FILE --plot FILE] [--forgets]`` plays fleets before
-requests that end each endpoint that runs them, with the real keepers of suspects.
-``--forgets`` plays them as if nobody remembered what a request did. A row breaks the
-bound if in some run entries in touch sent such a request to endpoints more than three
-times later than 3 s after the third had ended.
+[--jobs 4] [--json FILE] [--against FILE --plot FILE] [--forgets]`` models fleets that
+serve requests which crash each endpoint that runs them, with the real tracking of
+suspects. ``--forgets`` turns the tracking off. A row exceeds the limit if in some run
+connected entries sent such a request to endpoints more than three times later than 3 s
+after its third crash.
 """
 
 import concurrent.futures
@@ -27,7 +27,7 @@
 )
 from celerytrack.lab.virtual_time import run_virtual
 
-RECORDS_MOST = 20_000
+MAX_CACHED_RECORDS = 20_000
 SCENARIOS = (
     CrashScenario("no fault"),
     *(CrashScenario(fault.value, faults=(fault,)) for fault in CrashFault),
@@ -44,16 +44,16 @@
 
 
 def play(scenario: CrashScenario, seed: int) -> CrashOutcome:
-    """Play one scenario with one seed."""
+    """Run one scenario with one seed."""
     logging.disable(logging.CRITICAL)
-    _decode_once()
+    _cache_decoding()
     return run_virtual(CrashFleet(scenario, seed).run())
 
 
 @functools.cache
-def _decode_once() -> None:
-    """Have a record that every entry reads decoded once."""
-    decode = functools.lru_cache(RECORDS_MOST)(suspect_sync.decode_findings)
+def _cache_decoding() -> None:
+    """Cache decoded records, because every modelled entry reads each of them."""
+    decode = functools.lru_cache(MAX_CACHED_RECORDS)(suspect_sync.decode_findings)
     suspect_sync.decode_findings = decode  # type: ignore[assignment]
 
 
@@ -71,14 +71,14 @@
 
 
 def main() -> int:
-    """Play the scenarios and print their rows."""
+    """Run the scenarios and print their rows."""
     parser = make_parser(__doc__, entries="9,76,195", seeds=20, jobs=4)
-    parser.add_argument("--forgets", action="store_true", help="nothing is remembered")
+    parser.add_argument("--forgets", action="store_true", help="turn tracking off")
     args = parser.parse_args()
     rows = []
     for entries in map(int, args.entries.split(",")):
         scenarios = [
-            attrs.evolve(s, entries=entries, remembers=not args.forgets)
+            attrs.evolve(s, entries=entries, tracking=not args.forgets)
             for s in SCENARIOS
             if args.only in s.name
         ]
--- a/bench/restore_bench.py
+++ b/bench/restore_bench.py
@@ -19,7 +19,11 @@
 from bench.restore_plot import plot
 from bench.rows import keep_rows, make_parser, print_row
 from celerytrack.gateway import share_sync
-from celerytrack.lab.after_return import Owed, most_writes_per_s, normal_again_s
+from celerytrack.lab.after_return import (
+    SampledRequest,
+    most_writes_per_s,
+    normal_again_s,
+)
 from celerytrack.lab.prepaid_fleet import PrepaidFleet
 from celerytrack.lab.prepaid_scenarios import Fault, FaultKind, Scenario
 from celerytrack.lab.virtual_time import run_virtual
@@ -71,7 +75,7 @@
     delivered_share: float
     in_target_share: float
     refused_share: float
-    requests: list[Owed]
+    requests: list[SampledRequest]
     writes_per_s: int
 
 
--- a/src/celerytrack/lab/crash_endpoints.py
+++ b/src/celerytrack/lab/crash_endpoints.py
@@ -1,4 +1,4 @@
-"""Modelled endpoints that some requests end."""
+"""Modelled endpoints that crash on some requests."""
 
 import asyncio
 import itertools
@@ -9,27 +9,27 @@
 from celerytrack.fingerprint import Fingerprint
 from celerytrack.ids import EndpointId
 
-BACK_S = 2.0
-"""How long an ended endpoint is away."""
-LAPSES_S = 3.0
-"""How long the registration of an ended one stands."""
-KNOWN_S = 0.6
-"""Longest time until an entry has read a registration."""
+RESTART_S = 2.0
+"""Downtime of a crashed endpoint."""
+REGISTRATION_TTL_S = 3.0
+"""How long the registration of a crashed endpoint remains."""
+DISCOVERY_S = 0.6
+"""Longest delay until an entry has read a registration."""
 
 
-class BrokeOffError(Exception):
-    """The endpoint ended while it ran the request."""
+class ConnectionBrokenError(Exception):
+    """The endpoint crashed while it ran the request."""
 
 
-class NotThereError(Exception):
-    """The endpoint takes no connection."""
+class EndpointDownError(Exception):
+    """The endpoint accepts no connections."""
 
 
 @attrs.frozen
 class ModelRequest:
-    """A request, each time it comes.
+    """A request, the same at each repetition.
 
-    :ivar lasts_s: how long it runs, or until it ends its endpoint.
+    :ivar lasts_s: how long it runs, or until it crashes its endpoint.
     """
 
     fingerprint: Fingerprint
@@ -39,81 +39,82 @@
 
 @attrs.define(eq=False)
 class ModelEndpoint:
-    """One start of an endpoint."""
+    """One incarnation of an endpoint."""
 
     endpoint_id: EndpointId
     born_s: float
-    ended_s: float | None = None
+    crashed_at_s: float | None = None
     running: set[asyncio.Future[None]] = attrs.field(factory=set)
 
     async def run(self, request: ModelRequest) -> None:
         """Run ``request`` to its end.
 
-        :raises BrokeOffError: if the endpoint ends first.
-        :raises NotThereError: if it has ended.
+        :raises ConnectionBrokenError: if the endpoint crashes first.
+        :raises EndpointDownError: if it has crashed before.
         """
-        if self.ended_s is not None:
-            raise NotThereError
-        over: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.running.add(over)
+        if self.crashed_at_s is not None:
+            raise EndpointDownError
+        done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.running.add(done)
         try:
             async with asyncio.timeout(request.lasts_s):
-                await over
+                await done
         except TimeoutError:
             if request.crashes:
-                self.end()
-                raise BrokeOffError from None
+                self.crash()
+                raise ConnectionBrokenError from None
         finally:
-            self.running.discard(over)
+            self.running.discard(done)
 
-    def end(self) -> None:
-        """End the process: what it runs breaks off."""
-        self.ended_s = asyncio.get_running_loop().time()
-        for over in list(self.running):
-            if not over.done():
-                over.set_exception(BrokeOffError())
+    def crash(self) -> None:
+        """Crash the process and break its requests."""
+        self.crashed_at_s = asyncio.get_running_loop().time()
+        for done in list(self.running):
+            if not done.done():
+                done.set_exception(ConnectionBrokenError())
 
 
 class ModelService:
-    """All starts of the endpoints of one service."""
+    """All incarnations of the endpoints of one service."""
 
     def __init__(self, count: int, rng: random.Random) -> None:
-        self.starts: list[ModelEndpoint] = []
+        self.incarnations: list[ModelEndpoint] = []
         self._numbers = itertools.count()
         self._rng = rng
         for _ in range(count):
-            self._start(-KNOWN_S)
+            self._start(-DISCOVERY_S)
 
     def _start(self, now_s: float) -> None:
         name = EndpointId(f"i-{next(self._numbers)}")
-        self.starts.append(ModelEndpoint(name, now_s))
+        self.incarnations.append(ModelEndpoint(name, now_s))
 
-    async def replace_ended(self) -> None:
-        """Have each ended endpoint back under a new id, for ever."""
+    async def replace_crashed(self) -> None:
+        """Restart each crashed endpoint under a new id, for ever."""
         replaced: set[EndpointId] = set()
         while True:
             await asyncio.sleep(0.05)
             now_s = asyncio.get_running_loop().time()
-            for endpoint in list(self.starts):
-                ended_s = endpoint.ended_s
-                due = ended_s is not None and now_s - ended_s >= BACK_S
+            for endpoint in list(self.incarnations):
+                crashed_at_s = endpoint.crashed_at_s
+                due = crashed_at_s is not None and now_s - crashed_at_s >= RESTART_S
                 if due and endpoint.endpoint_id not in replaced:
                     replaced.add(endpoint.endpoint_id)
                     self._start(now_s)
 
     def registered(self, now_s: float, read_s: float) -> list[ModelEndpoint]:
-        """The endpoints that an entry knows of.
+        """The endpoints that an entry knows.
 
-        :param read_s: how long ago it read the registrations, at most.
+        :param read_s: the delay of its reads of registrations.
         """
         at_s = now_s - read_s
         return [
             e
-            for e in self.starts
-            if e.born_s <= at_s and (e.ended_s is None or at_s < e.ended_s + LAPSES_S)
+            for e in self.incarnations
+            if e.born_s <= at_s
+            and (e.crashed_at_s is None or at_s < e.crashed_at_s + REGISTRATION_TTL_S)
         ]
 
     @property
-    def endings(self) -> int:
-        """How many ended."""
-        return sum(e.ended_s is not None for e in self.starts)
+    def crashes(self) -> int:
+        """Number of crashes."""
+        return sum(e.crashed_at_s is not None for e in self.incarnations)
--- a/src/celerytrack/lab/crash_fleet.py
+++ b/src/celerytrack/lab/crash_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of entries before requests that end endpoints, in modelled time.
+"""A fleet of entries that serves crashing requests, in modelled time.
 
-The real keepers of suspects run on a modelled log and tell each other by modelled
-notes; endpoints, callers and the choice among endpoints are models.
+The real synchronisation of suspects runs on a modelled log and with modelled peer
+messages. Endpoints, callers and the choice of endpoints are models.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from celerytrack.lab.crash_endpoints import ModelRequest, ModelService
 from celerytrack.lab.crash_entry import CrashEntry, ModelAnswer
 from celerytrack.lab.crash_scenarios import (
-    ENDINGS_KNOWN,
+    CRASHES_TO_QUARANTINE,
     KNOWN_WITHIN_S,
     CrashFault,
     CrashOutcome,
@@ -25,15 +25,16 @@
 )
 from celerytrack.lab.model_log import ModelLog
 
-NOTE_S = 0.001
-"""Way of a note."""
-NOTE_LOST_SHARE = 0.01
-"""Share of notes lost with no fault."""
+MESSAGE_DELAY_S = 0.001
+"""Delay of a peer message."""
+MESSAGE_LOSS_SHARE = 0.01
+"""Share of peer messages that are lost without a fault."""
 CRASHES_AFTER_S = (0.05, 0.4)
 LONG_SHARE, LONG_S, SHORT_S = 0.2, (1.0, 4.0), (0.05, 0.5)
-"""Harmless requests: what share lasts long, and how long they last."""
+"""Harmless requests: the share of long ones, and the durations of long and short
+ones."""
 HOT_SHARE, HOT = 0.1, 10
-"""What share of harmless requests are repeats of a few."""
+"""Harmless requests: the share of repeated ones, and how many different ones repeat."""
 THIRD = 1 / 3
 STOPS_PAUSE_S = 0.2
 _PLACE = FingerprintPrefix(b"place!")
@@ -48,9 +49,9 @@
         self._log = ModelLog(random.Random(seed + 1))
         self._service = ModelService(scenario.endpoints, self._rng)
         self._arrivals: dict[Fingerprint, list[tuple[float, bool]]] = {}
-        self._endings_s: dict[Fingerprint, list[float]] = {}
+        self._crashes_s: dict[Fingerprint, list[float]] = {}
         self._outcome = CrashOutcome()
-        self._log_back_s = float("-inf")
+        self._log_restored_s = float("-inf")
         self._numbers = itertools.count()
         self._tasks: list[asyncio.Task[Any]] = []
         self._entries = [
@@ -58,22 +59,22 @@
                 number,
                 self._log,
                 self._service,
-                scenario.remembers,
-                self._tell,
-                self._sent,
+                scenario.tracking,
+                self._announce,
+                self._record_arrival,
                 random.Random(seed * 1_000 + number),
             )
             for number in range(scenario.entries)
         ]
 
     async def run(self) -> CrashOutcome:
-        """Play the scenario."""
+        """Run the scenario."""
         if CrashFault.LATE_LOG in self._scenario.faults:
             self._log.late_s = 0.7
         await asyncio.gather(*(entry.start() for entry in self._entries))
-        self._keep(self._service.replace_ended())
+        self._spawn(self._service.replace_crashed())
         for fault in self._scenario.faults:
-            self._keep(self._play(fault))
+            self._spawn(self._inject(fault))
         crashing = [
             ModelRequest(
                 fingerprint_of(_PLACE, b"crashing %d" % n),
@@ -83,11 +84,11 @@
             for n in range(self._scenario.crashing)
         ]
         for request in crashing:
-            self._keep(self._repeat(request))
-        self._keep(self._harmless())
+            self._spawn(self._repeat(request))
+        self._spawn(self._harmless())
         began_s = asyncio.get_running_loop().time()
         await asyncio.sleep(self._scenario.lasts_s)
-        self._judge([request.fingerprint for request in crashing], began_s)
+        self._evaluate([request.fingerprint for request in crashing], began_s)
         await self._end()
         return self._outcome
 
@@ -98,7 +99,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _keep(self, coro: Coroutine[Any, Any, Any]) -> None:
+    def _spawn(self, coro: Coroutine[Any, Any, Any]) -> None:
         self._tasks.append(asyncio.get_running_loop().create_task(coro))
 
     # -- callers -------------------------------------------------------------
@@ -106,12 +107,12 @@
     async def _repeat(self, request: ModelRequest) -> None:
         while True:
             await asyncio.sleep(self._rng.expovariate(self._scenario.repeats_per_s))
-            self._keep(self._ask(request))
+            self._spawn(self._ask(request))
 
     async def _harmless(self) -> None:
         while True:
             await asyncio.sleep(self._rng.expovariate(self._scenario.harmless_per_s))
-            self._keep(self._ask_harmless())
+            self._spawn(self._ask_harmless())
 
     async def _ask_harmless(self) -> None:
         hot = self._rng.random() < HOT_SHARE
@@ -121,33 +122,33 @@
         lasts_s = self._rng.uniform(*(LONG_S if long else SHORT_S))
         request = ModelRequest(fingerprint_of(_PLACE, body), False, lasts_s)
         answer = await self._ask(request)
-        if answer is ModelAnswer.AWAY:
+        if answer is ModelAnswer.DOWN:
             return
         self._outcome.harmless += 1
         self._outcome.served += answer is ModelAnswer.SERVED
-        self._outcome.falsely += answer is ModelAnswer.SHUT_OUT
+        self._outcome.falsely_quarantined += answer is ModelAnswer.QUARANTINED
 
     async def _ask(self, request: ModelRequest) -> ModelAnswer:
         entry = self._rng.choice(self._entries)
         others = [e.entry_id for e in self._entries if e is not entry]
         return await entry.serve(request, others)
 
-    # -- what is between entries -----------------------------------------------
+    # -- peer messages and faults ------------------------------------------------
 
-    def _tell(self, sender: CrashEntry, findings: Findings) -> None:
+    def _announce(self, sender: CrashEntry, findings: Findings) -> None:
         loop = asyncio.get_running_loop()
         for entry in self._entries:
             if entry is not sender and self._reaches(sender, entry):
-                loop.call_later(NOTE_S, entry.hear, findings)
+                loop.call_later(MESSAGE_DELAY_S, entry.receive, findings)
 
     def _reaches(self, sender: CrashEntry, entry: CrashEntry) -> bool:
         faults = self._scenario.faults
-        if sender.apart or entry.apart or CrashFault.NO_NOTES in faults:
+        if sender.partitioned or entry.partitioned or CrashFault.NO_NOTES in faults:
             return False
-        lost = THIRD if CrashFault.NOTES_LOST in faults else NOTE_LOST_SHARE
+        lost = THIRD if CrashFault.NOTES_LOST in faults else MESSAGE_LOSS_SHARE
         return self._rng.random() >= lost
 
-    async def _play(self, fault: CrashFault) -> None:
+    async def _inject(self, fault: CrashFault) -> None:
         third = self._entries[: len(self._entries) // 3]
         match fault:
             case CrashFault.LOG_AWAY:
@@ -156,7 +157,7 @@
                 self._log_is_back()
             case CrashFault.THIRD_APART:
                 for entry in third:
-                    entry.apart = True
+                    entry.partitioned = True
             case CrashFault.THIRD_CUT:
                 await asyncio.sleep(1.0)
                 self._cut(third, True)
@@ -176,11 +177,11 @@
 
     def _log_is_back(self) -> None:
         self._log.away = False
-        self._log_back_s = asyncio.get_running_loop().time()
+        self._log_restored_s = asyncio.get_running_loop().time()
 
     def _cut(self, entries: list[CrashEntry], cut: bool) -> None:
         for entry in entries:
-            entry.apart = entry.store.cut = cut
+            entry.partitioned = entry.store.cut = cut
             entry.moved_s = asyncio.get_running_loop().time()
 
     async def _start_again(self, entry: CrashEntry) -> None:
@@ -188,34 +189,34 @@
         await entry.start()
         entry.moved_s = asyncio.get_running_loop().time()
 
-    # -- what is judged ----------------------------------------------------------
+    # -- evaluation --------------------------------------------------------------
 
-    def _sent(self, entry: CrashEntry, request: ModelRequest) -> None:
+    def _record_arrival(self, entry: CrashEntry, request: ModelRequest) -> None:
         if not request.crashes:
             return
         now_s = asyncio.get_running_loop().time()
-        moved_s = max(entry.moved_s, self._log_back_s)
+        moved_s = max(entry.moved_s, self._log_restored_s)
         moved = now_s - moved_s < KNOWN_WITHIN_S
         in_touch = not (moved or entry.store.cut or self._log.away)
         arrivals = self._arrivals.setdefault(request.fingerprint, [])
         arrivals.append((now_s, in_touch))
-        endings_s = self._endings_s.setdefault(request.fingerprint, [])
-        endings_s.append(now_s + request.lasts_s)
+        crashes_s = self._crashes_s.setdefault(request.fingerprint, [])
+        crashes_s.append(now_s + request.lasts_s)
 
-    def _judge(self, crashing: list[Fingerprint], began_s: float) -> None:
+    def _evaluate(self, crashing: list[Fingerprint], began_s: float) -> None:
         outcome = self._outcome
-        outcome.endings = self._service.endings
+        outcome.crashes = self._service.crashes
         late: Counter[Fingerprint] = Counter()
         for fingerprint in crashing:
-            endings_s = sorted(self._endings_s.get(fingerprint, []))
-            if len(endings_s) < ENDINGS_KNOWN:
+            crashes_s = sorted(self._crashes_s.get(fingerprint, []))
+            if len(crashes_s) < CRASHES_TO_QUARANTINE:
                 continue
-            from_s = endings_s[ENDINGS_KNOWN - 1] + KNOWN_WITHIN_S
+            from_s = crashes_s[CRASHES_TO_QUARANTINE - 1] + KNOWN_WITHIN_S
             late[fingerprint] = sum(
                 at_s > from_s and in_touch
                 for at_s, in_touch in self._arrivals[fingerprint]
             )
-        outcome.late = max(late.values(), default=0)
+        outcome.late_arrivals = max(late.values(), default=0)
         writes_s = [at_s for at_s in self._log.asked_s if at_s >= began_s]
         outcome.writes = len(writes_s)
         outcome.writes_per_s_most = most_in_a_second(writes_s)
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -15,7 +15,7 @@
 from celerytrack.gateway.admission import RETRY_ELSEWHERE_AFTER_S, insufficient_tokens
 from celerytrack.gateway.share_sync import ShareSync
 from celerytrack.ids import AccountId
-from celerytrack.lab.after_return import Owed
+from celerytrack.lab.after_return import SampledRequest
 from celerytrack.lab.model_entry import ModelEntry
 from celerytrack.lab.model_log import ModelLog
 from celerytrack.lab.prepaid_scenarios import (
@@ -200,7 +200,9 @@
 
     def _note(self, owed: bool, sent_s: float, in_target: bool) -> None:
         if owed:
-            self.outcome.requests.append(Owed(sent_s - self._began_s, in_target))
+            self.outcome.requests.append(
+                SampledRequest(sent_s - self._began_s, in_target)
+            )
 
     def _reached(self, name: AccountId) -> list[ModelEntry]:
         """The entries that callers of an account connect to."""
--- a/src/celerytrack/lab/prepaid_scenarios.py
+++ b/src/celerytrack/lab/prepaid_scenarios.py
@@ -5,7 +5,7 @@
 import attrs
 
 from celerytrack.ids import AccountId
-from celerytrack.lab.after_return import Owed
+from celerytrack.lab.after_return import SampledRequest
 
 
 @attrs.frozen
@@ -137,7 +137,7 @@
     appends_per_s: float = 0.0
     bytes_in_per_s: float = 0.0
     bytes_out_per_s: float = 0.0
-    requests: list[Owed] = attrs.field(factory=list)
+    requests: list[SampledRequest] = attrs.field(factory=list)
     writes_s: list[float] = attrs.field(factory=list)
 
     @property
--- a/tests/test_after_return.py
+++ b/tests/test_after_return.py
@@ -1,28 +1,34 @@
-"""What runs of the modelled fleet come to after the log's return."""
+"""Recovery of a modelled fleet after an outage of the log."""
 
 import unittest
 
 from nose2.tools import params
 
-from celerytrack.lab.after_return import Owed, most_writes_per_s, normal_again_s
+from celerytrack.lab.after_return import (
+    SampledRequest,
+    most_writes_per_s,
+    normal_again_s,
+)
 
 BACK_S, ENDS_S = 10.0, 14.0
 SENT_S = [i / 8 for i in range(8 * int(ENDS_S))]
-USUAL = [Owed(at_s, True) for at_s in SENT_S]
+USUAL = [SampledRequest(at_s, True) for at_s in SENT_S]
 
 
 class NormalAgainTest(unittest.TestCase):
     @params(
-        # from when to when nothing is served, after how long service is normal
+        # begin and end of the failure, time until service is normal
         (BACK_S, BACK_S, 0.0),
         (BACK_S, BACK_S + 1.0, 1.0),
         (BACK_S - 3.0, BACK_S + 0.5, 0.5),
-        # Normal for less than a second: not yet.
+        # Service that is normal for less than a second doesn't count.
         (BACK_S + 0.5, BACK_S + 2.0, 2.0),
         (BACK_S, ENDS_S, ENDS_S - BACK_S),
     )
-    def test_service_is_normal_when_it_stays_so(self, from_s, to_s, after_s):
-        played = [Owed(at_s, not from_s <= at_s < to_s) for at_s in SENT_S]
+    def test_service_counts_as_normal_after_a_normal_second(
+        self, from_s, to_s, after_s
+    ):
+        played = [SampledRequest(at_s, not from_s <= at_s < to_s) for at_s in SENT_S]
         self.assertEqual(normal_again_s(played, USUAL, BACK_S, ENDS_S), after_s)
 
 
@@ -34,8 +40,8 @@
         ([10.0, 12.0, 12.1, 12.9, 13.5], 3),
         ([15.5, 15.6], 0),
     )
-    def test_the_most_within_a_second_soon_after(self, writes_s, most):
-        self.assertEqual(most_writes_per_s(writes_s, BACK_S), most)
+    def test_the_peak_of_writes_within_one_second(self, writes_s, peak):
+        self.assertEqual(most_writes_per_s(writes_s, BACK_S), peak)
 
 
 if __name__ == "__main__":
--- a/tests/test_crash_model.py
+++ b/tests/test_crash_model.py
@@ -1,4 +1,4 @@
-"""Fleets of the real keepers of suspects before crashing requests, in modelled time."""
+"""Modelled fleets with the real tracking of crashing requests, in modelled time."""
 
 import unittest
 
@@ -8,14 +8,14 @@
 from celerytrack.lab.crash_scenarios import CrashFault, CrashOutcome, CrashScenario
 from celerytrack.lab.virtual_time import run_virtual
 
-MOST_LATE = 3
-"""Arrivals at endpoints that a known request may have."""
+MAX_LATE_ARRIVALS = 3
+"""Most arrivals of a request at endpoints after the fleet should quarantine it."""
 SEEDS = (1, 2, 3)
-LEAST_SERVED_SHARE = 0.95
-"""Of harmless requests, with one crashing and nothing else wrong."""
+MIN_SERVED_SHARE = 0.95
+"""Share of harmless requests, with one crashing request and no fault."""
 
 
-def _play(scenario: CrashScenario, seed: int) -> CrashOutcome:
+def _run(scenario: CrashScenario, seed: int) -> CrashOutcome:
     return run_virtual(CrashFleet(scenario, seed).run())
 
 
@@ -34,25 +34,29 @@
         (76, (CrashFault.THIRD_APART,)),
         (195, (CrashFault.NO_NOTES,)),
     )
-    def test_a_known_request_reaches_few_endpoints(
+    def test_a_quarantined_request_reaches_few_endpoints(
         self, entries: int, faults: tuple[CrashFault, ...]
     ) -> None:
-        """BUDGET at 9, 76 and 195 entries: one try by each entry was too many."""
+        """One attempt by each entry exceeded the limit with 9, 76 and 195 entries."""
         for seed in SEEDS:
-            outcome = _play(CrashScenario("", entries=entries, faults=faults), seed)
-            self.assertLessEqual(outcome.late, MOST_LATE, f"seed {seed}: {outcome}")
+            outcome = _run(CrashScenario("", entries=entries, faults=faults), seed)
+            self.assertLessEqual(
+                outcome.late_arrivals, MAX_LATE_ARRIVALS, f"seed {seed}: {outcome}"
+            )
 
-    def test_harmless_requests_are_served_beside_it(self) -> None:
+    def test_harmless_requests_beside_it_are_served(self) -> None:
         for seed in SEEDS:
-            outcome = _play(CrashScenario(""), seed)
-            self.assertGreaterEqual(outcome.served_share, LEAST_SERVED_SHARE)
-            self.assertEqual(outcome.falsely, 0)
+            outcome = _run(CrashScenario(""), seed)
+            self.assertGreaterEqual(outcome.served_share, MIN_SERVED_SHARE)
+            self.assertEqual(outcome.falsely_quarantined, 0)
 
     def test_several_crashing_requests_are_each_bounded(self) -> None:
         for seed in SEEDS:
-            outcome = _play(CrashScenario("", crashing=4), seed)
-            self.assertLessEqual(outcome.late, MOST_LATE, f"seed {seed}: {outcome}")
-
-    def test_the_model_shows_a_fleet_that_forgets(self) -> None:
-        outcome = _play(CrashScenario("", remembers=False), SEEDS[0])
-        self.assertGreater(outcome.late, MOST_LATE)
+            outcome = _run(CrashScenario("", crashing=4), seed)
+            self.assertLessEqual(
+                outcome.late_arrivals, MAX_LATE_ARRIVALS, f"seed {seed}: {outcome}"
+            )
+
+    def test_without_tracking_the_limit_is_exceeded(self) -> None:
+        outcome = _run(CrashScenario("", tracking=False), SEEDS[0])
+        self.assertGreater(outcome.late_arrivals, MAX_LATE_ARRIVALS)
