--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -25,9 +25,9 @@
 from tests.crashing_endpoints import MARKER, Answers, CrashRun
 from tests.gateway_fleet import Endpoint, Fleet
 
-KNOWN_WITHIN_S = 3.0
+QUARANTINE_WITHIN_S = 3.0
 """Longest time until the whole fleet knows that a request crashed three endpoints."""
-MOST_AFTER = 3
+MAX_ARRIVALS_AFTER = 3
 """Most times that such a request may reach endpoints later than that."""
 AT_ONCE_S = 0.1
 
@@ -41,7 +41,7 @@
     return _states(gateway)[:1] == [SuspectState.QUARANTINED]
 
 
-def _lose_notes(fleet: Fleet) -> None:
+def _lose_peer_messages(fleet: Fleet) -> None:
     for gateway in fleet.gateways:
         gateway.peer_messenger.send_findings = lambda addresses, findings: None  # type: ignore[method-assign]
 
@@ -56,8 +56,8 @@
 class CrashingRequestTest(unittest.IsolatedAsyncioTestCase):
     def _assert_bounded(self, run: CrashRun) -> None:
         self.assertGreaterEqual(len(run.crashes_s), 3, "the request ran too rarely")
-        late = run.marked_after(run.crashes_s[2] + KNOWN_WITHIN_S)
-        self.assertLessEqual(len(late), MOST_AFTER, run.marked.by_status)
+        late = run.marked_after(run.crashes_s[2] + QUARANTINE_WITHIN_S)
+        self.assertLessEqual(len(late), MAX_ARRIVALS_AFTER, run.marked.by_status)
 
     async def test_a_crashing_request_reaches_few_endpoints(self) -> None:
         """A request repeated at any entry crashed one endpoint after the other."""
@@ -73,15 +73,15 @@
             self.assertGreaterEqual(served, 0.97 * run.harmless.asked)
             self.assertNotIn(429, run.harmless.by_status)
 
-    @params("notes", "log")
-    def test_notes_or_the_log_alone_suffice(self, lost: str) -> None:
+    @params("peer messages", "log")
+    def test_peer_messages_or_the_log_alone_suffice(self, lost: str) -> None:
         """The limit was exceeded by one attempt of each entry without the evidence."""
         asyncio.run(self._without_one_channel(lost))
 
     async def _without_one_channel(self, lost: str) -> None:
         async with Fleet(gateways=6) as fleet, CrashRun(fleet, 12, seed=3) as run:
-            if lost == "notes":
-                _lose_notes(fleet)
+            if lost == "peer messages":
+                _lose_peer_messages(fleet)
             else:
                 fleet.log.topic(SUSPECTS_TOPIC)
                 fleet.log.refused.add(SUSPECTS_TOPIC)
@@ -142,8 +142,8 @@
     ) -> None:
         async with Fleet(gateways=1) as fleet, CrashRun(fleet, 8, seed=8) as run:
             await _quarantine_everywhere(fleet, run)
-            book = fleet.gateways[0].share_sync.budgets
-            left = book.available_tokens(AccountId("t"), time.monotonic())
+            budgets = fleet.gateways[0].share_sync.budgets
+            left = budgets.available_tokens(AccountId("t"), time.monotonic())
             began_s = time.monotonic()
             status, headers, body = await fleet.ask(
                 "/plain/x", "last", body=MARKER, X_Token_Count="10,10"
@@ -154,7 +154,7 @@
                 float(headers["Retry-After"]), 0.9 * QUARANTINE_PERIODS_S[0]
             )
             self.assertIn(b"did_not_run", body)
-            after = book.available_tokens(AccountId("t"), time.monotonic())
+            after = budgets.available_tokens(AccountId("t"), time.monotonic())
             self.assertEqual(after, left)
 
     async def test_it_is_probed_once_all_endpoints_have_another_build(
@@ -167,9 +167,9 @@
             for endpoint in run.endpoints:
                 endpoint.vulnerable = False
                 await endpoint.replace("v2")
-            known = fleet.gateways[1].endpoints
+            pool = fleet.gateways[1].endpoints
             await fleet.wait_until(
-                lambda: len(known.registered_ids()) == len(run.endpoints)
+                lambda: len(pool.registered_ids()) == len(run.endpoints)
             )
             self.assertEqual(await run.ask(run.marked, MARKER, gateway=1), 200)
             await fleet.wait_until(lambda: not any(_states(g) for g in fleet.gateways))
@@ -205,29 +205,29 @@
             self.assertEqual(await run.ask(run.marked, MARKER), 429)
 
 
-class ClaimTest(unittest.IsolatedAsyncioTestCase):
-    """Claims of probes that end before the request is sent."""
+class BeginProbeTest(unittest.IsolatedAsyncioTestCase):
+    """Probes that end before the request is sent."""
 
     async def asyncSetUp(self) -> None:
-        self.known = fingerprint_of(FingerprintPrefix(b"place!"), MARKER)
+        self.fingerprint = fingerprint_of(FingerprintPrefix(b"place!"), MARKER)
         self.fleet = await self.enterAsyncContext(Fleet(gateways=1))
-        self.keeper = self.fleet.gateways[0].suspects
+        self.sync = self.fleet.gateways[0].suspects
         for number in range(2):
-            ending = Crash(EndpointId(f"i-{number}"))
-            self.keeper.tracker.record_crash(ending, [self.known], time.monotonic())
+            crash = Crash(EndpointId(f"i-{number}"))
+            self.sync.tracker.record_crash(crash, [self.fingerprint], time.monotonic())
 
-    async def test_a_cancelled_claim_is_released(self) -> None:
-        """The caller left while the claim was published. The claim then lasted until
-        its deadline, and no entry could probe the request."""
+    async def test_a_cancelled_probe_is_released(self) -> None:
+        """The caller left while the probe was announced. It then lasted until its
+        deadline, and no entry could probe the request again."""
         self.fleet.log.silent = True
-        trial = Probe(self.known, EndpointId("i-9"), 60.0)
-        claim = asyncio.create_task(self.keeper.begin_probe(trial, []))
+        probe = Probe(self.fingerprint, EndpointId("i-9"), 60.0)
+        task = asyncio.create_task(self.sync.begin_probe(probe, []))
         await asyncio.sleep(0.1)
-        self.assertTrue(self.keeper.tracker.is_probing(self.known))
-        claim.cancel()
+        self.assertTrue(self.sync.tracker.is_probing(self.fingerprint))
+        task.cancel()
         with self.assertRaises(asyncio.CancelledError):
-            await claim
-        self.assertFalse(self.keeper.tracker.is_probing(self.known))
+            await task
+        self.assertFalse(self.sync.tracker.is_probing(self.fingerprint))
         self.fleet.log.silent = False
 
     @params(("e0@127.0.0.1", True), ("another", False))
@@ -240,23 +240,23 @@
 
     async def _first_in_line(self, first: str, may: bool) -> None:
         others = [EntryId(name) for name in ("another", "a third", "a fourth")]
-        book = SuspectTracker(EntryId("e0@127.0.0.1"))
-        known = next(
-            known
-            for known in (
+        tracker = SuspectTracker(EntryId("e0@127.0.0.1"))
+        fingerprint = next(
+            fingerprint
+            for fingerprint in (
                 fingerprint_of(FingerprintPrefix(b"place!"), b"%d" % n)
                 for n in range(100)
             )
-            if rendezvous(known.hex(), [*others, book.entry_id], 1) == [first]
+            if rendezvous(fingerprint.hex(), [*others, tracker.entry_id], 1) == [first]
         )
         async with Fleet(gateways=1) as fleet:
-            keeper = fleet.gateways[0].suspects
+            sync = fleet.gateways[0].suspects
             fleet.log.refused.add(SUSPECTS_TOPIC)
             for number in range(2):
-                ending = Crash(EndpointId(f"i-{number}"))
-                keeper.tracker.record_crash(ending, [known], time.monotonic())
-            trial = Probe(known, EndpointId("i-9"), 60.0)
-            self.assertEqual(await keeper.begin_probe(trial, others), may)
+                crash = Crash(EndpointId(f"i-{number}"))
+                sync.tracker.record_crash(crash, [fingerprint], time.monotonic())
+            probe = Probe(fingerprint, EndpointId("i-9"), 60.0)
+            self.assertEqual(await sync.begin_probe(probe, others), may)
 
 
 class EvidenceTest(unittest.IsolatedAsyncioTestCase):
@@ -306,10 +306,10 @@
             await fleet.wait_until(lambda: bool(run.arrivals))
             record = endpoint.registration(state="draining")
             fleet.log.put(ENDPOINTS_TOPIC, "i-0-1", record)
-            known = fleet.gateways[0].endpoints
+            pool = fleet.gateways[0].endpoints
             service = ServiceName("s")
             await fleet.wait_until(
-                lambda: not known.available_builds(service, time.monotonic())
+                lambda: not pool.available_builds(service, time.monotonic())
             )
             endpoint.crash("i-0-1")
             self.assertEqual(await asked, 502)
