--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -60,8 +60,8 @@
 """Weight of the newest answer in the moving average of an endpoint's failure rate."""
 GREY_FAILURE_RATE = 0.35
 """Failure rate that ejects an endpoint which accepts connections (grey failure), if it
-is also more than :data:`GREY_FAILURE_FACTOR` the average rate of the service's other
-endpoints."""
+is also more than :data:`GREY_FAILURE_FACTOR` times the average rate of the service's
+other endpoints."""
 GREY_FAILURE_FACTOR = 2.0
 GREY_EJECTION_S = 2.0
 """Ejection time after a grey failure, until a request tries the endpoint again."""
@@ -280,17 +280,17 @@
     # -- internals ---------------------------------------------------------
 
     def _candidates(self, service: ServiceName, now_s: float) -> list[Endpoint]:
-        active = [
+        not_draining = [
             e
             for e in self._endpoints.values()
             if e.registration.service == service and not e.registration.draining
         ]
-        registered = [e for e in active if e.deregistered_at_s is None]
+        registered = [e for e in not_draining if e.deregistered_at_s is None]
         if registered:
             return registered
         return [
             e
-            for e in active
+            for e in not_draining
             if e.deregistered_at_s is not None
             and now_s - e.deregistered_at_s < DEREGISTERED_GRACE_S
         ]
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -161,7 +161,9 @@
         others = [known for entry, known in self._entries.items() if entry != self.me]
         if len(others) < MIN_CLOCK_PEERS:
             return None
-        return statistics.median(min(s.delays_s) for s in others) + clock_offset_s
+        return (
+            statistics.median(min(known.delays_s) for known in others) + clock_offset_s
+        )
 
     def prompt_clock_lead_s(self, clock_offset_s: float) -> float | None:
         """Like :meth:`clock_lead_s`, but only by entries with :data:`CLOCK_SAMPLES`
@@ -171,15 +173,15 @@
         :returns: ``None`` if these are not the majority of the other entries, or fewer
             than :data:`MIN_CLOCK_PEERS`.
         """
-        prompt = [
+        shortest_s = [
             min(known.delays_s)
             for entry, known in self._entries.items()
             if entry != self.me and len(known.delays_s) == CLOCK_SAMPLES
         ]
         others = len(self._entries.keys() - {self.me})
-        if len(prompt) < max(MIN_CLOCK_PEERS, others // 2 + 1):
+        if len(shortest_s) < max(MIN_CLOCK_PEERS, others // 2 + 1):
             return None
-        return statistics.median(prompt) + clock_offset_s
+        return statistics.median(shortest_s) + clock_offset_s
 
     def mark_leaving(self, entry: EntryId, started_s: float) -> None:
         """Record that the incarnation of ``entry`` of ``started_s`` is leaving.
--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -22,14 +22,14 @@
 CRASHES_TO_QUARANTINE = 3
 QUARANTINE_PERIODS_S = (20.0, 300.0, 3_600.0)
 """How long a request is quarantined after its third, fourth and fifth crash. After the
-sixth it stays quarantined until an operator lifts it: a request known to crash
-endpoints may crash at most three more in probes."""
+sixth it stays quarantined until an operator lifts the quarantine: a request known to
+crash endpoints may crash at most three more in probes."""
 SUSPECT_TTL_S = 900.0
 """How long a request that is not quarantined is remembered after its last crash: long
 enough to count three crashes of a request that is repeated every few minutes."""
 MAX_SUSPECTS = 4_096
-"""About 1 MB, and far more requests than run at the endpoints that crash within a few
-minutes."""
+"""Suspects remembered at most: about 1 MB, and far more than the requests that run at
+the endpoints that crash within a few minutes."""
 EVICTED_SHARE = 0.1
 """Share of the suspects that is evicted at once when there are too many."""
 EXPIRE_INTERVAL_S = 1.0
@@ -80,15 +80,15 @@
 
     @property
     def last_uncleared_s(self) -> float:
-        return max((self.crashes[e] for e in self.uncleared), default=float("-inf"))
+        return max((self.crashes[c] for c in self.uncleared), default=float("-inf"))
 
 
 @attrs.frozen
 class Suspect:
     """One suspected request, as operators see it.
 
-    :ivar free_in_s: time until it may be probed; ``None`` if only an operator can lift
-        the quarantine.
+    :ivar quarantine_left_s: time until it may be probed; ``None`` if only an operator
+        can lift the quarantine.
     """
 
     fingerprint: Fingerprint
@@ -141,8 +141,8 @@
     def merge(self, findings: Findings, complete: bool, now_s: float) -> None:
         """Merge the findings of another entry.
 
-        :param whole: whether they are the entry's complete record, so that its probes
-            that are missing there are over.
+        :param complete: whether they are the entry's complete record, so that its
+            probes that are missing there are over.
         """
         for evidence in findings.evidence:
             self._add_crash(evidence, now_s)
@@ -182,7 +182,7 @@
         return findings
 
     def lift(self, fingerprint: Fingerprint, now_s: float) -> Findings:
-        """Clear a request of all its crashes.
+        """Clear a request of all its crashes, which ends its quarantine.
 
         :returns: what to send to the other entries.
         """
@@ -213,16 +213,16 @@
             return SuspectState.WATCHED
         if len(uncleared) < CRASHES_TO_QUARANTINE:
             return SuspectState.PROBE_ONLY
-        free_in_s = _quarantine_left_s(suspicion, now_s)
-        if free_in_s is None:
+        left_s = _quarantine_left_s(suspicion, now_s)
+        if left_s is None:
             return SuspectState.QUARANTINED
-        other_builds = builds and not {e.build for e in uncleared} & set(builds)
-        may_probe = free_in_s <= 0 or other_builds
+        other_builds = builds and not {c.build for c in uncleared} & set(builds)
+        may_probe = left_s <= 0 or other_builds
         return SuspectState.PROBE_ONLY if may_probe else SuspectState.QUARANTINED
 
     def retry_after_s(self, fingerprint: Fingerprint, now_s: float) -> float | None:
-        """Time until a request that is held back may be sent; ``None`` if an operator
-        must lift the quarantine."""
+        """Time until a request that is quarantined or being probed may be sent;
+        ``None`` if an operator must lift the quarantine."""
         suspicion = self._suspects.get(fingerprint)
         if suspicion is None:
             return 0.0
@@ -230,8 +230,8 @@
         probe_s = active.ends_s - now_s if active else 0.0
         if len(suspicion.uncleared) < CRASHES_TO_QUARANTINE:
             return max(0.0, probe_s)
-        free_in_s = _quarantine_left_s(suspicion, now_s)
-        return None if free_in_s is None else max(0.0, free_in_s, probe_s)
+        left_s = _quarantine_left_s(suspicion, now_s)
+        return None if left_s is None else max(0.0, left_s, probe_s)
 
     def begin_probe(self, probe: Probe, now_s: float) -> Findings | None:
         """Begin a probe of a request.
@@ -271,10 +271,10 @@
 
     # -- reports -----------------------------------------------------------------
 
-    def own_findings(self, now_s: float, day_s: float = 0.0) -> Findings:
+    def own_findings(self, now_s: float, unix_now_s: float = 0.0) -> Findings:
         """This entry's record: requests with most crashes first, then the newest.
 
-        :param day_s: current Unix time.
+        :param unix_now_s: current Unix time.
         """
         self.expire(now_s)
         evidence = sorted(
@@ -298,7 +298,7 @@
             tuple(evidence),
             tuple(cleared[:MAX_PUBLISHED]),
             tuple(probes[:MAX_PUBLISHED]),
-            tuple(int(day_s - now_s + self._own_evidence[e]) for e in evidence),
+            tuple(int(unix_now_s - now_s + self._own_evidence[e]) for e in evidence),
         )
 
     def list_suspects(self, now_s: float) -> list[Suspect]:
@@ -330,7 +330,7 @@
         if now_s < self._next_expiry_s and len(self._suspects) <= MAX_SUSPECTS:
             return
         self._next_expiry_s = now_s + EXPIRE_INTERVAL_S
-        self._probes = {f: h for f, h in self._probes.items() if h.ends_s > now_s}
+        self._probes = {f: p for f, p in self._probes.items() if p.ends_s > now_s}
         expired = [f for f, s in self._suspects.items() if _is_expired(s, now_s)]
         for fingerprint in expired:
             self._evict(fingerprint)
