--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -60,8 +60,8 @@
 """Weight of the newest answer in the moving average of an endpoint's failure rate."""
 GREY_FAILURE_RATE = 0.35
 """Failure rate that ejects an endpoint which accepts connections (grey failure), if it
-is also more than :data:`GREY_FAILURE_FACTOR` the average rate of the service's other
-endpoints."""
+is also more than :data:`GREY_FAILURE_FACTOR` times the average rate of the service's
+other endpoints."""
 GREY_FAILURE_FACTOR = 2.0
 GREY_EJECTION_S = 2.0
 """Ejection time after a grey failure, until a request tries the endpoint again."""
@@ -84,7 +84,7 @@
 
     NEW = "new"
     RESTARTED = "started_again"
-    """Another process has the id now, with an empty cache."""
+    """Another incarnation has the id now, with an empty cache."""
     CHANGED = "changed"
     """The endpoint began or ended draining."""
     SAME = "same"
@@ -117,7 +117,7 @@
             self._add(registration, now_s)
             return RegistrationChange.NEW
         if 0 < known.registration.born_ms < registration.born_ms:
-            # The statistics and cached parts belong to a process that is gone. Parts
+            # The statistics and cached parts belong to an earlier incarnation. Parts
             # counted as cached would need an unpredicted prefill. Earlier requests
             # refer to the old object and finish there.
             self._add(registration, now_s)
@@ -154,7 +154,7 @@
         self.mark_deregistered(endpoint_id, now_s - DEREGISTERED_GRACE_S)
 
     def mark_crashed(self, endpoint_id: EndpointId, now_s: float) -> None:
-        """Eject an endpoint whose process crashed, as observed by some entry."""
+        """Eject an endpoint that crashed, as observed by some entry."""
         known = self._endpoints.get(endpoint_id)
         if known is not None:
             ejected_until_s = max(known.ejected_until_s, now_s + CRASH_EJECTION_S)
@@ -168,7 +168,7 @@
         return not is_leaving and not self.is_superseded(endpoint)
 
     def is_superseded(self, endpoint: Endpoint) -> bool:
-        """Whether a newer process has the id of ``endpoint``."""
+        """Whether a newer incarnation has the id of ``endpoint``."""
         known = self._endpoints.get(endpoint.endpoint_id)
         return known is not None and known is not endpoint
 
@@ -280,17 +280,17 @@
     # -- internals ---------------------------------------------------------
 
     def _candidates(self, service: ServiceName, now_s: float) -> list[Endpoint]:
-        known = [
+        not_draining = [
             e
             for e in self._endpoints.values()
             if e.registration.service == service and not e.registration.draining
         ]
-        registered = [e for e in known if e.deregistered_at_s is None]
+        registered = [e for e in not_draining if e.deregistered_at_s is None]
         if registered:
             return registered
         return [
             e
-            for e in known
+            for e in not_draining
             if e.deregistered_at_s is not None
             and now_s - e.deregistered_at_s < DEREGISTERED_GRACE_S
         ]
--- a/src/celerytrack/gateway/draining.py
+++ b/src/celerytrack/gateway/draining.py
@@ -31,20 +31,22 @@
     """Drain the entry: redirect callers, then wait for the requests in progress."""
     log_event(_log, Event.PROCESS_STOPPING, in_flight=gateway.in_flight)
     for exchange in gateway.exchanges:
-        exchange.shorten_deadline(stop.answers_end_s)
+        exchange.shorten_deadline(stop.drain_deadline_s)
     gateway.share_sync.publish_leaving()
     for _ in range(LEAVING_MESSAGE_COUNT):
         gateway.announce_leaving()
         await asyncio.sleep(LEAVING_MESSAGE_INTERVAL_S)
-    await asyncio.sleep(stop.serves_until_s - time.monotonic())
+    await asyncio.sleep(stop.accepts_until_s - time.monotonic())
     log_stage(gateway, stop, listeners, "callers gone")
-    await _wait_until(lambda: not gateway.in_flight, stop.closes_s)
+    await _wait_until(lambda: not gateway.in_flight, stop.close_deadline_s)
     gateway.closing = True
     log_stage(gateway, stop, listeners, "requests over")
-    last_row_timeout_at_s = min(stop.closes_s, time.monotonic() + LAST_ROW_TIMEOUT_S)
+    last_row_timeout_at_s = min(
+        stop.close_deadline_s, time.monotonic() + LAST_ROW_TIMEOUT_S
+    )
     await gateway.share_sync.publish_final_row(last_row_timeout_at_s)
     log_stage(gateway, stop, listeners, "last row")
-    await _wait_until(lambda: not listeners.unsent_bytes(), stop.closes_s)
+    await _wait_until(lambda: not listeners.unsent_bytes(), stop.close_deadline_s)
     log_stage(gateway, stop, listeners, "answers sent")
 
 
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -13,7 +13,7 @@
 from celerytrack.gateway.exchange import AttemptFailure, Exchange
 from celerytrack.gateway.state import Gateway
 from celerytrack.ids import EndpointId
-from celerytrack.process_end import ENDING_KNOWN_S
+from celerytrack.process_end import CRASH_DETECTION_S
 from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run
 
@@ -137,7 +137,7 @@
     A crash that is detected meanwhile ends the probe itself.
     """
     loop = asyncio.get_running_loop()
-    loop.call_later(ENDING_KNOWN_S, cancel_probe, gateway, exchange)
+    loop.call_later(CRASH_DETECTION_S, cancel_probe, gateway, exchange)
 
 
 def record_success(gateway: Gateway, exchange: Exchange) -> None:
--- a/tests/test_planned_stop_review.py
+++ b/tests/test_planned_stop_review.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from nose2.tools import params
 
-from celerytrack.durations import FEWEST
+from celerytrack.durations import MIN_SAMPLES
 from celerytrack.platform.topics import ENTRIES_TOPIC
 from tests.gateway_fleet import HOST, KEY, Script
 from tests.test_planned_stop import (
@@ -43,7 +43,7 @@
     requests = itertools.count(1)
 
     async def stream(request: web.BaseRequest) -> web.StreamResponse:
-        if next(requests) > FEWEST:
+        if next(requests) > MIN_SAMPLES:
             return await _long_stream(request)
         response = web.StreamResponse(headers=_echo(request))
         response.enable_chunked_encoding()
@@ -300,7 +300,7 @@
 
     async def _assert_late_stream_refused(self) -> None:
         async with Site(_first_short()) as site:
-            for _ in range(FEWEST):
+            for _ in range(MIN_SAMPLES):
                 self.assertTrue((await site.ask("/stream/x")).complete)
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGSTOP)
