--- a/src/celerytrack/lab/crash_fleet.py
+++ b/src/celerytrack/lab/crash_fleet.py
@@ -36,8 +36,8 @@
 HOT_SHARE, HOT = 0.1, 10
 """Harmless requests: the share of repeated ones, and how many different ones repeat."""
 THIRD = 1 / 3
-STOPS_PAUSE_S = 0.2
-_PLACE = FingerprintPrefix(b"place!")
+RESTART_PAUSE_S = 0.2
+_PREFIX = FingerprintPrefix(b"place!")
 
 
 class CrashFleet:
@@ -77,7 +77,7 @@
             self._spawn(self._inject(fault))
         crashing = [
             ModelRequest(
-                fingerprint_of(_PLACE, b"crashing %d" % n),
+                fingerprint_of(_PREFIX, b"crashing %d" % n),
                 True,
                 self._rng.uniform(*CRASHES_AFTER_S),
             )
@@ -120,7 +120,7 @@
         body = b"hot %d" % number if hot else b"%d" % number
         long = self._rng.random() < LONG_SHARE
         lasts_s = self._rng.uniform(*(LONG_S if long else SHORT_S))
-        request = ModelRequest(fingerprint_of(_PLACE, body), False, lasts_s)
+        request = ModelRequest(fingerprint_of(_PREFIX, body), False, lasts_s)
         answer = await self._ask(request)
         if answer is ModelAnswer.DOWN:
             return
@@ -166,7 +166,7 @@
             case CrashFault.STOPS_IN_TURN:
                 for entry in itertools.cycle(self._entries):
                     await self._start_again(entry)
-                    await asyncio.sleep(STOPS_PAUSE_S)
+                    await asyncio.sleep(RESTART_PAUSE_S)
             case CrashFault.OLDER_COPY:
                 older = self._log.copy()
                 await asyncio.sleep(4.0)
