--- a/src/celerytrack/cli/standin.py
+++ b/src/celerytrack/cli/standin.py
@@ -17,7 +17,7 @@
     load_json,
 )
 from celerytrack.standins import engine, instances, log, service, weights
-from celerytrack.standins.ends import MarkedEnd, serve_between_ends
+from celerytrack.standins.crashes import MarkedCrash, serve_with_crashes
 
 _ROLES = ("log", "instances", "weights", "replica")
 
@@ -86,7 +86,7 @@
         except SettingsError as exc:
             self.line_error(f"<error>settings: {exc}</error>")
             return 2
-        marked = MarkedEnd()
+        marked = MarkedCrash()
         try:
             make_app, address = self._app(role, fleet, marked)
         except KeyError:
@@ -94,13 +94,13 @@
             return 2
 
         async def main() -> None:
-            await serve_between_ends(make_app, address, marked)
+            await serve_with_crashes(make_app, address, marked)
 
         run(main)
         return 0
 
     def _app(
-        self, role: str, fleet: FleetSettings, marked: MarkedEnd
+        self, role: str, fleet: FleetSettings, marked: MarkedCrash
     ) -> tuple[Callable[[], web.Application], str]:
         """What makes the application of ``role``, and where it listens.
 
@@ -119,11 +119,11 @@
             case "replica":
                 spec = fleet.replica(str(self.option("replica-id")))
                 marked.marker = str(self.option("marker"))
-                marked.back_s = float(self.option("back-s"))
+                marked.restart_delay_s = float(self.option("back-s"))
                 return lambda: self._replica(spec, marked), spec.address
         raise KeyError(role)
 
-    def _replica(self, spec: ReplicaSpec, marked: MarkedEnd) -> web.Application:
+    def _replica(self, spec: ReplicaSpec, marked: MarkedCrash) -> web.Application:
         if spec.kind is not BackendKind.ENGINE:
             return service.make_app(
                 service.ServiceState(spec.replica_id, marked=marked)
--- a/src/celerytrack/standins/ends.py
+++ b/src/celerytrack/standins/crashes.py
@@ -13,34 +13,34 @@
 
 from celerytrack.cli._serve import HANDLERS_END_S, stop_event
 
-CUT_WAIT_S = 0.1
+CRASH_CLEANUP_S = 0.1
 """How long the handlers of a process that ended may take to go."""
 
 
 @attrs.define
-class MarkedEnd:
+class MarkedCrash:
     """What ends a stand-in, and how often it did.
 
     :ivar marker: a request whose body holds it ends the process; empty for none.
-    :ivar back_s: how long the process is away.
+    :ivar restart_delay_s: how long the process is away.
     :ivar starts: how often it started.
     """
 
     marker: str = ""
-    back_s: float = 2.0
+    restart_delay_s: float = 2.0
     starts: int = 0
-    ended: asyncio.Event = attrs.field(factory=asyncio.Event)
+    crashed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    async def run_marked(self, text: str) -> None:
+    async def crash_if_marked(self, text: str) -> None:
         """End the process if ``text`` holds the marker; then nothing is answered."""
         if not self.marker or self.marker not in text:
             return
-        self.ended.set()
+        self.crashed.set()
         await asyncio.Event().wait()
 
 
-async def serve_between_ends(
-    make_app: Callable[[], web.Application], address: str, marked: MarkedEnd
+async def serve_with_crashes(
+    make_app: Callable[[], web.Application], address: str, marked: MarkedCrash
 ) -> None:
     """Serve on ``address`` until a stop signal, anew after each end.
 
@@ -48,14 +48,14 @@
     """
     stop = stop_event()
     while not stop.is_set():
-        marked.ended.clear()
+        marked.crashed.clear()
         marked.starts += 1
-        wait_s = CUT_WAIT_S if marked.marker else HANDLERS_END_S
+        wait_s = CRASH_CLEANUP_S if marked.marker else HANDLERS_END_S
         runner = await _start(make_app(), address, wait_s)
-        await _first_of(stop, marked.ended)
-        if marked.ended.is_set():
+        await _first_of(stop, marked.crashed)
+        if marked.crashed.is_set():
             await _cut(runner)
-            await asyncio.sleep(marked.back_s)
+            await asyncio.sleep(marked.restart_delay_s)
         else:
             await runner.cleanup()
 
--- a/src/celerytrack/standins/engine.py
+++ b/src/celerytrack/standins/engine.py
@@ -29,7 +29,7 @@
 from celerytrack.prompts import BLOCK_TOKENS, count_tokens, prompt_blocks, prompt_text
 from celerytrack.sse import DONE_EVENT, event_bytes
 from celerytrack.standins._common import Faults, apply_faults, faults_routes
-from celerytrack.standins.ends import MarkedEnd
+from celerytrack.standins.crashes import MarkedCrash
 
 _CHUNK_TOKENS = 512
 """Prompt tokens read in at a time."""
@@ -77,7 +77,7 @@
     cache_blocks: int = 4096
     ignores_fence: bool = False
     faults: Faults = attrs.field(factory=Faults)
-    marked: MarkedEnd = attrs.field(factory=MarkedEnd)
+    marked: MarkedCrash = attrs.field(factory=MarkedCrash)
     knobs: dict[str, Any] = attrs.field(factory=_knobs)
     running: int = 0
     prefills: list[tuple[int, int, _Prefill]] = attrs.field(factory=list)
@@ -227,7 +227,7 @@
         try:
             state.runs[request_id] = state.runs.get(request_id, 0) + 1
             await state.read_in(prompt, priority)
-            await state.marked.run_marked(prompt)
+            await state.marked.crash_if_marked(prompt)
             resp = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
             await resp.prepare(request)
             start = int(body.get("resume_from", 0))
--- a/src/celerytrack/standins/service.py
+++ b/src/celerytrack/standins/service.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 from celerytrack.standins._common import Faults, apply_faults, faults_routes, lose_reply
-from celerytrack.standins.ends import MarkedEnd
+from celerytrack.standins.crashes import MarkedCrash
 
 
 @attrs.define
@@ -24,7 +24,7 @@
     replica_id: str
     latency_s: float = 0.005
     faults: Faults = attrs.field(factory=Faults)
-    marked: MarkedEnd = attrs.field(factory=MarkedEnd)
+    marked: MarkedCrash = attrs.field(factory=MarkedCrash)
     runs: dict[str, int] = attrs.field(factory=dict)
     running: int = 0
 
@@ -49,7 +49,7 @@
         state.running += 1
         try:
             await asyncio.sleep(state.latency_s)
-            await state.marked.run_marked(text)
+            await state.marked.crash_if_marked(text)
         finally:
             state.running -= 1
         if lose_reply(state.faults, request):
