--- a/src/celerytrack/cli/_serve.py
+++ b/src/celerytrack/cli/_serve.py
@@ -11,7 +11,7 @@
 import uvloop
 from aiohttp import web
 
-HANDLERS_END_S = 5.0
+SHUTDOWN_TIMEOUT_S = 5.0
 """Time that requests in progress get when a server closes, and again once cancelled."""
 
 Hook = Callable[[], Awaitable[None]]
@@ -31,17 +31,17 @@
     address: str,
     on_start: Hook = _noop,
     close: Close = _close,
-    handlers_end_s: float = HANDLERS_END_S,
+    shutdown_timeout_s: float = SHUTDOWN_TIMEOUT_S,
 ) -> None:
     """Serve ``app`` on ``address`` (``host:port``) until a stop signal.
 
     :param on_start: runs before the port opens.
     :param close: runs after the signal, while the port still serves, and closes it.
-    :param handlers_end_s: how long closing waits for requests in progress.
+    :param shutdown_timeout_s: how long closing waits for requests in progress.
     """
     host, port = address.rsplit(":", 1)
     await on_start()
-    runner = web.AppRunner(app, access_log=None, shutdown_timeout=handlers_end_s)
+    runner = web.AppRunner(app, access_log=None, shutdown_timeout=shutdown_timeout_s)
     await runner.setup()
     site = web.TCPSite(runner, host, int(port), reuse_address=True)
     await site.start()
--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -36,17 +36,17 @@
 class OperatorView:
     """The requests under suspicion, as an operator's tool reads them.
 
-    :ivar book: what all records tell.
+    :ivar tracker: what all records tell.
     :ivar own: what operators lifted before.
-    :ivar since_s: when the first ending under each request was seen, in Unix seconds.
+    :ivar first_crash_at_s: Unix time of the first crash under each request.
     """
 
     def __init__(self) -> None:
-        self.book = SuspectTracker(OPERATOR)
+        self.tracker = SuspectTracker(OPERATOR)
         self.own = Findings(OPERATOR)
-        self.since_s: dict[Fingerprint, int] = {}
+        self.first_crash_at_s: dict[Fingerprint, int] = {}
 
-    def take(self, key: str, value: bytes, now_s: float) -> None:
+    def merge_record(self, key: str, value: bytes, now_s: float) -> None:
         """Take one record; one that cannot be read tells nothing."""
         try:
             findings = decode_findings(value)
@@ -54,12 +54,12 @@
             return
         if key == OPERATOR:
             self.own = findings
-        self.book.merge(findings, True, now_s)
+        self.tracker.merge(findings, True, now_s)
         for evidence, at_s in zip(
             findings.evidence, findings.observed_at_s, strict=True
         ):
-            known_s = self.since_s.get(evidence.fingerprint, at_s)
-            self.since_s[evidence.fingerprint] = min(known_s, at_s)
+            known_s = self.first_crash_at_s.get(evidence.fingerprint, at_s)
+            self.first_crash_at_s[evidence.fingerprint] = min(known_s, at_s)
 
     def lift(self, prefix: str, now_s: float) -> Findings:
         """The record that lifts the only request whose fingerprint begins so.
@@ -68,12 +68,12 @@
         """
         found = [
             suspect.fingerprint
-            for suspect in self.book.list_suspects(now_s)
+            for suspect in self.tracker.list_suspects(now_s)
             if suspect.fingerprint.hex().startswith(prefix.lower())
         ]
         if len(found) != 1:
             raise SuspectsError(f"{len(found)} requests begin with {prefix!r}")
-        told = self.book.lift(found[0], now_s)
+        told = self.tracker.lift(found[0], now_s)
         forgiven = (*told.cleared, *self.own.cleared)
         return Findings(OPERATOR, cleared=forgiven[:MOST_ITEMS])
 
@@ -89,7 +89,7 @@
         case Success(batch):
             view = OperatorView()
             for record in batch.records:
-                view.take(record.key, record.value or b"", time.monotonic())
+                view.merge_record(record.key, record.value or b"", time.monotonic())
             return view
     raise AssertionError("a result is a success or a failure")
 
@@ -116,7 +116,8 @@
 def suspect_rows(view: OperatorView, now_s: float) -> list[dict[str, object]]:
     """The requests under suspicion for people and programs."""
     return [
-        _row(s, view.since_s[s.fingerprint]) for s in view.book.list_suspects(now_s)
+        _row(s, view.first_crash_at_s[s.fingerprint])
+        for s in view.tracker.list_suspects(now_s)
     ]
 
 
--- a/src/celerytrack/standins/_common.py
+++ b/src/celerytrack/standins/_common.py
@@ -86,7 +86,7 @@
     _level: float = 1.0
     _at_s: float = 0.0
 
-    def take(self, rate_per_s: float, now_s: float) -> bool:
+    def try_acquire(self, rate_per_s: float, now_s: float) -> bool:
         """Take one token at ``now_s``; ``False`` means refuse."""
         if rate_per_s <= 0:
             return True
--- a/src/celerytrack/standins/crashes.py
+++ b/src/celerytrack/standins/crashes.py
@@ -11,7 +11,7 @@
 import attrs
 from aiohttp import web
 
-from celerytrack.cli._serve import HANDLERS_END_S, stop_event
+from celerytrack.cli._serve import SHUTDOWN_TIMEOUT_S, stop_event
 
 CRASH_CLEANUP_S = 0.1
 """How long the handlers of a process that ended may take to go."""
@@ -50,7 +50,7 @@
     while not stop.is_set():
         marked.crashed.clear()
         marked.starts += 1
-        wait_s = CRASH_CLEANUP_S if marked.marker else HANDLERS_END_S
+        wait_s = CRASH_CLEANUP_S if marked.marker else SHUTDOWN_TIMEOUT_S
         runner = await _start(make_app(), address, wait_s)
         await _first_of(stop, marked.crashed)
         if marked.crashed.is_set():
--- a/src/celerytrack/standins/engine.py
+++ b/src/celerytrack/standins/engine.py
@@ -117,7 +117,7 @@
                 return
         self.running -= 1
 
-    async def read_in(self, prompt: str, priority: int) -> None:
+    async def prefill(self, prompt: str, priority: int) -> None:
         """Read in the prompt's blocks that are not cached: in chunks, the
         most urgent prompt's next."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -153,10 +153,10 @@
             hit += 1
         self.hit_blocks += hit
         self.asked_blocks += len(blocks)
-        self.take_blocks(blocks)
+        self.insert_blocks(blocks)
         return hit
 
-    def take_blocks(self, blocks: Sequence[int]) -> None:
+    def insert_blocks(self, blocks: Sequence[int]) -> None:
         """Have ``blocks`` of one prompt in the cache, as used just now."""
         now_s = time.time()
         for block in blocks:
@@ -226,7 +226,7 @@
         await state.acquire(priority)
         try:
             state.runs[request_id] = state.runs.get(request_id, 0) + 1
-            await state.read_in(prompt, priority)
+            await state.prefill(prompt, priority)
             await state.marked.crash_if_marked(prompt)
             resp = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
             await resp.prepare(request)
@@ -280,7 +280,7 @@
 
     async def import_kv(request: web.Request) -> web.Response:
         """Take blocks exported by another engine into the cache."""
-        state.take_blocks((await request.json())["blocks"])
+        state.insert_blocks((await request.json())["blocks"])
         return web.json_response({"ok": True})
 
     async def stats(request: web.Request) -> web.Response:
--- a/src/celerytrack/standins/instances.py
+++ b/src/celerytrack/standins/instances.py
@@ -29,7 +29,7 @@
         if instance_id in self.current:
             self.current[instance_id]["state"] = status
 
-    def seen_at(self, now_s: float) -> dict[str, dict[str, Any]]:
+    def list_at(self, now_s: float) -> dict[str, dict[str, Any]]:
         """The list as a reader sees it at ``now_s``."""
         cutoff = now_s - float(self.knobs["lag_s"])
         # Each history item is the list as it was just before a change at t.
@@ -69,7 +69,7 @@
     async def listing(request: web.Request) -> web.Response:
         if (refused := await apply_faults(state.faults, request)) is not None:
             return refused
-        seen = state.seen_at(time.time())
+        seen = state.list_at(time.time())
         return web.json_response({"instances": list(seen.values())})
 
     async def change(request: web.Request) -> web.Response:
--- a/src/celerytrack/standins/log.py
+++ b/src/celerytrack/standins/log.py
@@ -57,9 +57,9 @@
     def stream(self, name: str) -> _Stream:
         return self.streams.setdefault(name, _Stream())
 
-    def take_append(self, now_s: float) -> bool:
+    def try_acquire_append(self, now_s: float) -> bool:
         """Whether ``appends_per_s`` allows one more append now."""
-        return self.bucket.take(float(self.knobs["appends_per_s"]), now_s)
+        return self.bucket.try_acquire(float(self.knobs["appends_per_s"]), now_s)
 
     def expire(self, stream: _Stream, now_s: float) -> None:
         """Drop records older than ``retention_s``, keeping the last one."""
@@ -79,7 +79,7 @@
         if (refused := await apply_faults(state.faults, request)) is not None:
             return refused
         now_s = time.time()
-        if not state.take_append(now_s):
+        if not state.try_acquire_append(now_s):
             return web.json_response({"error": "rate_limited"}, status=429)
         body = await request.json()
         stream = state.stream(request.match_info["name"])
--- a/src/celerytrack/standins/weights.py
+++ b/src/celerytrack/standins/weights.py
@@ -34,7 +34,9 @@
     async def fetch(request: web.Request) -> web.Response:
         if (refused := await apply_faults(state.faults, request)) is not None:
             return refused
-        if not state.bucket.take(float(state.knobs["fetches_per_s"]), time.time()):
+        if not state.bucket.try_acquire(
+            float(state.knobs["fetches_per_s"]), time.time()
+        ):
             state.refused += 1
             return web.json_response({"error": "rate_limited"}, status=429)
         state.served += 1
