--- a/src/celerytrack/cli/__init__.py
+++ b/src/celerytrack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The console scripts: entry, stand-ins, operator tool and load tool."""
+"""Console scripts: entry, gateway, stand-ins, operators' tool and load generator."""
--- a/src/celerytrack/cli/_serve.py
+++ b/src/celerytrack/cli/_serve.py
@@ -1,7 +1,4 @@
-"""Running an aiohttp application until SIGTERM or SIGINT, on uvloop.
-
-The event loop comes from aiomisc's entrypoint with a uvloop loop factory.
-"""
+"""Runs an aiohttp application on a uvloop event loop until SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -12,7 +9,7 @@
 from aiohttp import web
 
 SHUTDOWN_TIMEOUT_S = 5.0
-"""Time that requests in progress get when a server closes, and again once cancelled."""
+"""Time that in-flight requests get when a server closes, and again once cancelled."""
 
 Hook = Callable[[], Awaitable[None]]
 Close = Callable[[web.AppRunner], Awaitable[None]]
@@ -35,9 +32,9 @@
 ) -> None:
     """Serve ``app`` on ``address`` (``host:port``) until a stop signal.
 
-    :param on_start: runs before the port opens.
-    :param close: runs after the signal, while the port still serves, and closes it.
-    :param shutdown_timeout_s: how long closing waits for requests in progress.
+    :param on_start: awaited before the port opens.
+    :param close: awaited after the signal, while the port is still open; closes it.
+    :param shutdown_timeout_s: how long closing waits for in-flight requests.
     """
     host, port = address.rsplit(":", 1)
     await on_start()
@@ -50,7 +47,7 @@
 
 
 def stop_event() -> asyncio.Event:
-    """Set by the signals that ask the process to stop."""
+    """Return an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for sig in (signal.SIGTERM, signal.SIGINT):
--- a/src/celerytrack/cli/ctl.py
+++ b/src/celerytrack/cli/ctl.py
@@ -1,9 +1,9 @@
 """``celerytrackctl``: the operators' tool.
 
-Commands: ``validate``, ``apply``, ``topup``, ``drain``, ``status`` talk to the
-platform log or to entries, ``suspects`` and ``lift`` to the log of the users' platform;
-``explain``, ``summary`` and ``slo`` read log lines from standard input. None keeps
-state of its own.
+``validate`` reads a local file. ``apply``, ``topup``, ``drain`` and ``status`` connect
+to the platform log, the instance list or the entries; ``suspects`` and ``lift`` connect
+to the log of the users' platform. ``explain``, ``summary`` and ``slo`` read log lines
+from standard input. No command keeps state of its own.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 _SETTINGS = option("settings", "s", "Fleet settings JSON.", flag=False)
 _ATTEMPTS = 10
 _RETRY_S = 0.3
-_TELL_TIMEOUT_S = 5.0
+_DRAIN_TIMEOUT_S = 5.0
 
 
 class ValidateCommand(Command):
     """Check a configuration file without publishing it."""
 
     name = "validate"
-    description = "Check a configuration file; print each bad field and why."
+    description = "Check a configuration file; print each invalid field and why."
     arguments = [argument("file", "Configuration JSON.")]
 
     def handle(self) -> int:
@@ -51,12 +51,12 @@
         return 0
 
 
-def _in_force(last: tuple[int, Any] | None) -> tuple[int, int]:
-    """The last record's offset, and the version it stands for.
+def _last_version(last: tuple[int, Any] | None) -> tuple[int, int]:
+    """Return the last record's offset and the configuration version in it.
 
-    Entries write the version in force again ahead of retention: such a
-    record lies at a later offset and is still the old version, or every
-    operator with a change in hand would be told of a conflict.
+    Entries republish the version in force before retention drops it. The copy has a
+    later offset but keeps its version; otherwise every operator who is preparing a
+    change would get a conflict.
     """
     if last is None:
         return -1, -1
@@ -69,14 +69,14 @@
 ) -> tuple[int, str]:
     """Publish ``config`` if the version in force is still ``base_version``.
 
-    :param base_version: the version the operator's change was based on;
-        ``None`` means whatever is in force now.
-    :returns: ``(version, "")`` on success, ``(-1, why)`` otherwise.
+    :param base_version: the version that the operator's change is based on;
+        ``None`` for the version that is in force now.
+    :returns: ``(version, "")`` on success, ``(-1, reason)`` otherwise.
     """
     for _ in range(_ATTEMPTS):
         match await log.last(CONFIG_STREAM):
             case Success(last):
-                last_offset, in_force = _in_force(last)
+                last_offset, in_force = _last_version(last)
             case Failure(_):
                 await asyncio.sleep(_RETRY_S)
                 continue
@@ -91,24 +91,24 @@
             case Success(appended):
                 return appended.first_offset, ""
             case Failure(error) if error.kind is LogErrorKind.CONFLICT:
-                # Someone wrote in between. Look again: the same version
-                # written anew is no matter; another operator's change is a
-                # conflict, and is never merged silently.
+                # Another writer appended first. Read again: a republished copy of
+                # the same version is harmless; another operator's change is a
+                # conflict and is never merged silently.
                 continue
             case Failure(error) if error.kind is LogErrorKind.UNKNOWN_OUTCOME:
-                # The reply was lost: look whether our record is the last one.
+                # The reply was lost: check whether our record is the last one.
                 match await log.last(CONFIG_STREAM):
                     case Success((offset, found)) if found == record:
                         return offset, ""
         await asyncio.sleep(_RETRY_S)
-    return -1, "the log could not be reached"
+    return -1, f"the platform log did not confirm the record in {_ATTEMPTS} attempts"
 
 
 class ApplyCommand(Command):
     """Publish a configuration on the log."""
 
     name = "apply"
-    description = "Validate and publish a configuration; refuse if it raced."
+    description = "Publish a valid configuration; fail if another change came first."
     arguments = [argument("file", "Configuration JSON.")]
     options = [
         _SETTINGS,
@@ -133,16 +133,16 @@
             finally:
                 await log.close()
 
-        version, why = asyncio.run(go())
+        version, reason = asyncio.run(go())
         if version < 0:
-            self.line_error(f"<error>{why}</error>")
+            self.line_error(f"<error>{reason}</error>")
             return 3
         self.line(f"applied {config.deployment} as version {version}")
         return 0
 
 
 async def topup(log: LogClient, account: str, tokens: int, topup_id: str) -> bool:
-    """Append a top-up; retried with the same id, so it counts once."""
+    """Append a top-up; retries use the same id, so it is credited once."""
     record = {
         "type": "topup",
         "account": account,
@@ -165,7 +165,7 @@
     arguments = [argument("account", "Account id."), argument("tokens", "Tokens.")]
     options = [
         _SETTINGS,
-        option("topup-id", None, "Id making retries safe.", flag=False),
+        option("topup-id", None, "Idempotency id; random by default.", flag=False),
     ]
 
     def handle(self) -> int:
@@ -185,20 +185,24 @@
                 await log.close()
 
         if not asyncio.run(go()):
-            self.line_error("<error>the log could not be reached</error>")
+            self.line_error(
+                "<error>the platform log did not confirm the record "
+                f"in {_ATTEMPTS} attempts</error>"
+            )
             return 3
         self.line(f"topped up {self.argument('account')} by {self.argument('tokens')}")
         return 0
 
 
 async def start_drain(fleet: FleetSettings, target: str) -> list[str]:
-    """Tell the instance list, and ``target`` if it is an entry, that it leaves.
+    """Mark ``target`` as leaving in the instance list; drain it if it is an entry.
 
-    Both are told at once, so that one that is silent does not hold up the other.
+    Both requests are sent at once, so that an unresponsive instance list does not
+    delay the entry's drain, nor the reverse.
 
-    :returns: who did not answer well.
+    :returns: the receivers that did not confirm.
     """
-    told = {
+    calls = {
         "the instance list": (
             f"http://{fleet.platform.instances_address}/instances/{target}",
             {"state": "leaving"},
@@ -206,14 +210,14 @@
     }
     for spec in fleet.entries:
         if spec.entry_id == target:
-            told[target] = (f"http://{spec.address}/admin/drain", {})
+            calls[target] = (f"http://{spec.address}/admin/drain", {})
     async with aiohttp.ClientSession() as http:
-        heard = await asyncio.gather(*(_tell(http, *call) for call in told.values()))
-    return [name for name, well in zip(told, heard, strict=True) if not well]
+        oks = await asyncio.gather(*(_post(http, *call) for call in calls.values()))
+    return [name for name, ok in zip(calls, oks, strict=True) if not ok]
 
 
-async def _tell(http: aiohttp.ClientSession, url: str, body: dict[str, Any]) -> bool:
-    timeout = aiohttp.ClientTimeout(total=_TELL_TIMEOUT_S)
+async def _post(http: aiohttp.ClientSession, url: str, body: dict[str, Any]) -> bool:
+    timeout = aiohttp.ClientTimeout(total=_DRAIN_TIMEOUT_S)
     try:
         async with http.post(url, json=body, timeout=timeout) as answer:
             return answer.status == 200
@@ -222,10 +226,10 @@
 
 
 class DrainCommand(Command):
-    """Take an entry or a replica out of service without cutting anything."""
+    """Take an entry or a replica out of service without aborting requests."""
 
     name = "drain"
-    description = "Mark an entry or replica leaving; an entry also drains."
+    description = "Mark an entry or replica as leaving; an entry is also drained."
     arguments = [argument("instance", "Entry or replica id.")]
     options = [_SETTINGS]
 
@@ -233,16 +237,19 @@
         fleet = load_json(str(self.option("settings")), FleetSettings)
         target = str(self.argument("instance"))
 
-        silent = asyncio.run(start_drain(fleet, target))
-        if silent:
-            self.line_error(f"<error>not told: {', '.join(silent)}; repeat it</error>")
+        failed = asyncio.run(start_drain(fleet, target))
+        if failed:
+            self.line_error(
+                f"<error>no confirmation from: {', '.join(failed)}; "
+                "run the command again</error>"
+            )
             return 3
         self.line(f"{target} is leaving")
         return 0
 
 
 class StatusCommand(Command):
-    """Show each entry's configuration version, escrow and backlog."""
+    """Show each entry's configuration version, held tokens and ledger backlog."""
 
     name = "status"
     description = "Show every entry's status."
--- a/src/celerytrack/cli/entry.py
+++ b/src/celerytrack/cli/entry.py
@@ -19,13 +19,13 @@
 
 
 class RunCommand(Command):
-    """Serve callers as one entry of a fleet."""
+    """Run one entry of a fleet."""
 
     name = "run"
     description = "Run one entry instance until SIGTERM (which drains it)."
     options = [
         option("settings", "s", "Fleet settings JSON.", flag=False),
-        option("entry-id", "e", "Which entry of the settings this is.", flag=False),
+        option("entry-id", "e", "Id of this entry in the settings.", flag=False),
         option("log-level", None, "Logging level.", flag=False, default="INFO"),
     ]
 
@@ -56,7 +56,7 @@
 async def _stop(entry: EntryState, runner: web.AppRunner) -> None:
     log_event(_log, Event.PROCESS_STOPPING, entry=entry.entry_id)
     times = await entry.stop()
-    # Answers on their way still need the connections.
+    # Answers in flight still need the connections.
     await finish_by(times.listener_until_s, runner.cleanup())
     entry.log_stage("listener closed", times)
     await finish_by(times.connections_until_s, entry.close())
--- a/src/celerytrack/cli/gateway.py
+++ b/src/celerytrack/cli/gateway.py
@@ -16,12 +16,17 @@
 
 
 class RunCommand(Command):
-    """Serve callers as one entry on the users' platform."""
+    """Run one entry on the users' platform."""
 
     name = "run"
     description = "Run one entry until SIGTERM (which drains it)."
     options = [
-        option("settings", "s", "Settings file; else the environment's.", flag=False)
+        option(
+            "settings",
+            "s",
+            "Settings file; by default $CELERYTRACK_SETTINGS.",
+            flag=False,
+        )
     ]
 
     def handle(self) -> int:
@@ -40,7 +45,8 @@
             status = await EntryServer(Gateway(settings, STARTED_S), path).run()
 
         run(main)
-        # Nothing is left to free: looking for it again takes a part of the grace time.
+        # The process exits next: a garbage collection at exit would free nothing of
+        # use and take a part of the grace time.
         gc.freeze()
         return status
 
--- a/src/celerytrack/cli/load.py
+++ b/src/celerytrack/cli/load.py
@@ -1,5 +1,7 @@
-"""``celerytrack-load``: send a deployment's mix through its entries and
-print latency, outcomes and the checker's audit.
+"""``celerytrack-load``: load generator for a running fleet.
+
+Sends a deployment's request mix through its entries and prints latencies, outcomes and
+the checker's audit.
 """
 
 import asyncio
@@ -20,16 +22,16 @@
     """Run a bounded load against a running fleet."""
 
     name = "run"
-    description = "Send a deployment's mix; bounded by --requests and --seconds."
+    description = "Send a deployment's mix, up to --requests and for --seconds."
     options = [
         option("settings", "s", "Fleet settings JSON.", flag=False),
         option("config", "c", "Configuration JSON (for keys and targets).", flag=False),
-        option("rate", "r", "Arrivals a second.", flag=False, default="50"),
-        option("seconds", None, "Longest run.", flag=False, default="10"),
-        option("requests", None, "Most arrivals.", flag=False, default="500"),
+        option("rate", "r", "Mean arrivals per second.", flag=False, default="50"),
+        option("seconds", None, "Duration of arrivals.", flag=False, default="10"),
+        option("requests", None, "Maximum arrivals.", flag=False, default="500"),
         option("seed", None, "Random seed.", flag=False, default="1"),
-        option("repeat", None, "Marked requests a second.", flag=False, default="0"),
-        option("marker", None, "The text that marks them.", flag=False, default=""),
+        option("repeat", None, "Marked requests per second.", flag=False, default="0"),
+        option("marker", None, "Text of the marked requests.", flag=False, default=""),
         option("json", None, "Print JSON."),
     ]
 
@@ -50,12 +52,12 @@
         )
         keys = {a.account_id: a.key for a in config.accounts}
         entries = [e.address for e in fleet.entries]
-        once = {c.name for c in config.classes if not c.idempotent}
+        non_idempotent = {c.name for c in config.classes if not c.idempotent}
 
         async def go() -> dict[str, object]:
             results = await run_plan(plan, MIXES[fleet.deployment], entries, keys)
             await asyncio.sleep(fleet.tuning.ledger_flush_s * 5)
-            found = await audit(fleet, once)
+            found = await audit(fleet, non_idempotent)
             targets = {c.name: c.ttft_target_s for c in config.classes}
             return summarise(results, found, targets)
 
--- a/src/celerytrack/cli/log_commands.py
+++ b/src/celerytrack/cli/log_commands.py
@@ -10,11 +10,11 @@
 
 
 class ExplainCommand(Command):
-    """Show one request's way through all processes."""
+    """Show the timeline of one request across all processes."""
 
     name = "explain"
     description = "Read log lines; print those of one request as a timeline."
-    arguments = [argument("request-id", "The request's id.")]
+    arguments = [argument("request-id", "Request id.")]
 
     def handle(self) -> int:
         request_id = str(self.argument("request-id"))
@@ -22,13 +22,13 @@
         for entry in found:
             self.line(entry.render(), style=None)
         if not found:
-            self.line_error(f"<error>no line names {request_id}</error>")
+            self.line_error(f"<error>no log line has request id {request_id}</error>")
             return 1
         return 0
 
 
 class SummaryCommand(Command):
-    """Count what happened in a run."""
+    """Count the outcomes, refusals and outages of a run."""
 
     name = "summary"
     description = "Read log lines; print outcomes, refusals and outages."
@@ -40,7 +40,7 @@
 
 
 class SloCommand(Command):
-    """Report how fast each class spends its error budget."""
+    """Report the error budget burn of each class."""
 
     name = "slo"
     description = "Read log lines; print each class's error budget burn."
--- a/src/celerytrack/cli/standin.py
+++ b/src/celerytrack/cli/standin.py
@@ -1,4 +1,4 @@
-"""``celerytrack-standin``: run a stand-in of the platform or a back end."""
+"""``celerytrack-standin``: run a stand-in of the platform or of a replica."""
 
 from collections.abc import Callable
 
@@ -30,49 +30,49 @@
     arguments = [argument("role", f"One of {', '.join(_ROLES)}.")]
     options = [
         option("settings", "s", "Fleet settings JSON.", flag=False),
-        option("replica-id", "r", "For role replica: which one.", flag=False),
+        option("replica-id", "r", "For role replica: its id.", flag=False),
         option(
             "token-s", None, "Engine: seconds per token.", flag=False, default="0.004"
         ),
         option(
             "capacity",
             None,
-            "Engine: sequences batched at once.",
+            "Engine: maximum sequences in a batch.",
             flag=False,
             default="16",
         ),
         option(
             "cache-blocks",
             None,
-            "Engine: prompt blocks cached.",
+            "Engine: prefix cache size in prompt blocks.",
             flag=False,
             default="4096",
         ),
         option(
             "prefill-s",
             None,
-            "Engine: seconds to read one prompt token.",
+            "Engine: prefill seconds per prompt token.",
             flag=False,
             default="0.00005",
         ),
         option(
             "tokens-per-event",
             None,
-            "Engine: tokens in one event of a stream.",
+            "Engine: tokens per stream event.",
             flag=False,
             default="1",
         ),
         option(
             "marker",
             None,
-            "Replica: a request with this text in it ends the process.",
+            "Replica: a request that contains this text crashes it.",
             flag=False,
             default="",
         ),
         option(
             "back-s",
             None,
-            "Replica: seconds until an ended process is back.",
+            "Replica: seconds until it restarts after a crash.",
             flag=False,
             default="2.0",
         ),
@@ -90,7 +90,9 @@
         try:
             make_app, address = self._app(role, fleet, marked)
         except KeyError:
-            self.line_error(f"<error>role must be one of {_ROLES}</error>")
+            self.line_error(
+                f"<error>role {role!r}: must be one of {', '.join(_ROLES)}</error>"
+            )
             return 2
 
         async def main() -> None:
@@ -102,7 +104,7 @@
     def _app(
         self, role: str, fleet: FleetSettings, marked: MarkedCrash
     ) -> tuple[Callable[[], web.Application], str]:
-        """What makes the application of ``role``, and where it listens.
+        """Return the application factory of ``role`` and the address to listen on.
 
         :raises KeyError: if there is no such role.
         """
@@ -114,8 +116,8 @@
                 state = instances.InstancesState(instances.seed(fleet))
                 return lambda: instances.make_app(state), platform.instances_address
             case "weights":
-                known = weights.WeightsState()
-                return lambda: weights.make_app(known), platform.weights_address
+                store = weights.WeightsState()
+                return lambda: weights.make_app(store), platform.weights_address
             case "replica":
                 spec = fleet.replica(str(self.option("replica-id")))
                 marked.marker = str(self.option("marker"))
--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -1,5 +1,8 @@
-"""``celerytrackctl suspects`` and ``lift``: requests that end endpoints, as the
-entries' records on the platform's log tell."""
+"""``celerytrackctl suspects`` and ``lift``: suspected requests and their release.
+
+A suspect is a request under which endpoints crashed. The commands read and write the
+records on the platform's log.
+"""
 
 import asyncio
 import datetime
@@ -25,19 +28,19 @@
 from celerytrack.suspects import Suspect, SuspectTracker
 
 OPERATOR = EntryId("operator")
-"""The key of the operators' own record."""
+"""Key of the operators' record on the log."""
 _STORE = option("store", None, "host:port of the platform's log.", flag=False)
 
 
 class SuspectsError(Exception):
-    """The log could not be read or written, or names no such request."""
+    """The log is unreachable, or not exactly one suspect matches a fingerprint."""
 
 
 class OperatorView:
-    """The requests under suspicion, as an operator's tool reads them.
+    """Suspects as merged from all records on the log.
 
-    :ivar tracker: what all records tell.
-    :ivar own: what operators lifted before.
+    :ivar tracker: the merged findings of all records.
+    :ivar own: the operators' record: what they lifted before.
     :ivar first_crash_at_s: Unix time of the first crash under each request.
     """
 
@@ -47,7 +50,7 @@
         self.first_crash_at_s: dict[Fingerprint, int] = {}
 
     def merge_record(self, key: str, value: bytes, now_s: float) -> None:
-        """Take one record; one that cannot be read tells nothing."""
+        """Merge one record; a record that cannot be decoded is ignored."""
         try:
             findings = decode_findings(value)
         except FindingsError:
@@ -62,9 +65,10 @@
             self.first_crash_at_s[evidence.fingerprint] = min(known_s, at_s)
 
     def lift(self, prefix: str, now_s: float) -> Findings:
-        """The record that lifts the only request whose fingerprint begins so.
+        """Return the operators' record that lifts the suspect with this prefix.
 
-        :raises SuspectsError: if there is none, or more than one.
+        :param prefix: the beginning of its fingerprint in hexadecimal digits.
+        :raises SuspectsError: if no suspect matches, or more than one.
         """
         found = [
             suspect.fingerprint
@@ -72,16 +76,19 @@
             if suspect.fingerprint.hex().startswith(prefix.lower())
         ]
         if len(found) != 1:
-            raise SuspectsError(f"{len(found)} requests begin with {prefix!r}")
-        told = self.tracker.lift(found[0], now_s)
-        forgiven = (*told.cleared, *self.own.cleared)
-        return Findings(OPERATOR, cleared=forgiven[:MOST_ITEMS])
+            raise SuspectsError(
+                f"{len(found)} suspects have a fingerprint that begins with "
+                f"{prefix!r}; exactly one must match"
+            )
+        lifted = self.tracker.lift(found[0], now_s)
+        cleared = (*lifted.cleared, *self.own.cleared)
+        return Findings(OPERATOR, cleared=cleared[:MOST_ITEMS])
 
 
 async def read_suspects(store: StoreClient) -> OperatorView:
-    """What the log tells now.
+    """Read all suspect records from the log.
 
-    :raises SuspectsError: if it cannot be read.
+    :raises SuspectsError: if the log cannot be read.
     """
     match await store.newest(SUSPECTS_TOPIC):
         case Failure(error):
@@ -95,9 +102,9 @@
 
 
 async def lift_suspect(store: StoreClient, prefix: str) -> Findings:
-    """Let a request back, and have all entries know it.
+    """Lift a quarantine by a record on the log, which all entries follow.
 
-    :raises SuspectsError: if there is no such request, or the log doesn't take it.
+    :raises SuspectsError: if no single suspect matches, or the append fails.
     """
     view = await read_suspects(store)
     findings = view.lift(prefix, time.monotonic())
@@ -110,11 +117,11 @@
 
 
 def _unreachable(error: StoreError) -> SuspectsError:
-    return SuspectsError(f"the log: {error.kind.value}: {error.detail}")
+    return SuspectsError(f"platform log: {error.kind.value}: {error.detail}")
 
 
 def suspect_rows(view: OperatorView, now_s: float) -> list[dict[str, object]]:
-    """The requests under suspicion for people and programs."""
+    """Return the rows that the ``suspects`` command prints, also as JSON."""
     return [
         _row(s, view.first_crash_at_s[s.fingerprint])
         for s in view.tracker.list_suspects(now_s)
@@ -134,10 +141,10 @@
 
 
 class SuspectsCommand(Command):
-    """List requests under which endpoints ended."""
+    """List the requests that are suspected of crashing endpoints."""
 
     name = "suspects"
-    description = "Requests under which endpoints ended, and on what evidence."
+    description = "List requests suspected of crashing endpoints, with the crashes."
     options = [_STORE, option("json", None, "Print JSON.")]
 
     def handle(self) -> int:
@@ -166,11 +173,11 @@
 
 
 class LiftCommand(Command):
-    """Let a request back that was shut out."""
+    """Lift the quarantine of a request."""
 
     name = "lift"
-    description = "Let a request that was shut out be sent again, at all entries."
-    arguments = [argument("fingerprint", "Its fingerprint, or how it begins.")]
+    description = "Lift the quarantine of a request at all entries."
+    arguments = [argument("fingerprint", "Fingerprint, or a unique prefix of it.")]
     options = [_STORE]
 
     def handle(self) -> int:
