--- a/src/celerytrack/standins/__init__.py
+++ b/src/celerytrack/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins of the platform and back ends, each run as its own process.
+"""Stand-ins for the platform and the replicas, each run as its own process.
 
-They exist for tests, the demo and benches; each has fault knobs that a test
-turns through ``POST /_faults``.
+They serve tests, the demo and benches. A test injects faults through
+``POST /_faults``.
 """
--- a/src/celerytrack/standins/_common.py
+++ b/src/celerytrack/standins/_common.py
@@ -1,4 +1,4 @@
-"""Pieces shared by the stand-ins: fault knobs and a server runner."""
+"""Code shared by the stand-ins: fault injection and a rate limit."""
 
 import asyncio
 import logging
@@ -14,14 +14,14 @@
 
 @attrs.define
 class Faults:
-    """Fault knobs a test can turn on a stand-in.
+    """Faults that a test can inject into a stand-in.
 
     :ivar outage: answer every request with 503.
-    :ivar slow_s: delay every answer by this long.
-    :ivar lose_replies: the next this many changes take effect, then the
-        connection is dropped before the reply is sent.
-    :ivar cut_clients: clients (by ``X-Client`` header) whose requests are
-        dropped, as in a network partition.
+    :ivar slow_s: delay of every answer.
+    :ivar lose_replies: number of coming changes that take effect but whose
+        connection is closed before the reply is sent.
+    :ivar cut_clients: clients (by ``X-Client`` header) whose connections are closed,
+        as in a network partition.
     """
 
     outage: bool = False
@@ -31,7 +31,7 @@
 
 
 def faults_routes(faults: Faults, extra: dict[str, Any] | None = None) -> list[Any]:
-    """Routes to read and set ``faults`` (and any ``extra`` knobs)."""
+    """Return the routes that read and set ``faults`` and any ``extra`` knobs."""
     knobs = extra if extra is not None else {}
 
     async def set_faults(request: web.Request) -> web.Response:
@@ -51,7 +51,10 @@
 
 
 async def apply_faults(faults: Faults, request: web.Request) -> web.Response | None:
-    """Delay, cut or refuse ``request`` as the knobs say; ``None`` to go on."""
+    """Delay, drop or refuse ``request`` as the faults say.
+
+    :returns: the answer to send; ``None`` if the request is to be handled.
+    """
     if request.headers.get("X-Client", "") in faults.cut_clients:
         _drop(request)
         return web.Response(status=503)
@@ -63,7 +66,10 @@
 
 
 def lose_reply(faults: Faults, request: web.Request) -> bool:
-    """After a change took effect: drop the reply if the knob says so."""
+    """Close the connection in place of a reply if ``lose_replies`` says so.
+
+    Called after a change took effect.
+    """
     if faults.lose_replies <= 0:
         return False
     faults.lose_replies -= 1
@@ -83,17 +89,17 @@
     A rate of zero or less means no limit.
     """
 
-    _level: float = 1.0
-    _at_s: float = 0.0
+    _tokens: float = 1.0
+    _refilled_at_s: float = 0.0
 
     def try_acquire(self, rate_per_s: float, now_s: float) -> bool:
-        """Take one token at ``now_s``; ``False`` means refuse."""
+        """Take one token at ``now_s``; return ``False`` if none is left."""
         if rate_per_s <= 0:
             return True
-        elapsed_s = max(now_s - self._at_s, 0.0)
-        self._level = min(rate_per_s, self._level + elapsed_s * rate_per_s)
-        self._at_s = now_s
-        if self._level < 1:
+        elapsed_s = max(now_s - self._refilled_at_s, 0.0)
+        self._tokens = min(rate_per_s, self._tokens + elapsed_s * rate_per_s)
+        self._refilled_at_s = now_s
+        if self._tokens < 1:
             return False
-        self._level -= 1
+        self._tokens -= 1
         return True
--- a/src/celerytrack/standins/crashes.py
+++ b/src/celerytrack/standins/crashes.py
@@ -1,8 +1,8 @@
-"""A back end whose process ends under a marked request, and is back later.
+"""A replica stand-in that a marked request crashes and that restarts after a delay.
 
-The stand-in's own process goes on: it closes its port and cuts all connections, so that
-a caller sees what it would of a process that ended, and serves anew, with nothing of
-what it knew, after a stated time.
+The stand-in's own process keeps running. For a crash it closes its port and aborts all
+connections, so that callers see what they would see of a crashed process. After
+``restart_delay_s`` it serves again with a new application and an empty state.
 """
 
 import asyncio
@@ -14,16 +14,16 @@
 from celerytrack.cli._serve import SHUTDOWN_TIMEOUT_S, stop_event
 
 CRASH_CLEANUP_S = 0.1
-"""How long the handlers of a process that ended may take to go."""
+"""Time for the handlers of a crashed application to be cancelled."""
 
 
 @attrs.define
 class MarkedCrash:
-    """What ends a stand-in, and how often it did.
+    """The marker that crashes a stand-in, and the number of its starts.
 
-    :ivar marker: a request whose body holds it ends the process; empty for none.
-    :ivar restart_delay_s: how long the process is away.
-    :ivar starts: how often it started.
+    :ivar marker: a request whose body contains it crashes the stand-in; empty for none.
+    :ivar restart_delay_s: time from a crash until the stand-in serves again.
+    :ivar starts: starts so far, the first included.
     """
 
     marker: str = ""
@@ -32,7 +32,7 @@
     crashed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def crash_if_marked(self, text: str) -> None:
-        """End the process if ``text`` holds the marker; then nothing is answered."""
+        """Crash if ``text`` contains the marker; then this call never returns."""
         if not self.marker or self.marker not in text:
             return
         self.crashed.set()
@@ -42,9 +42,9 @@
 async def serve_with_crashes(
     make_app: Callable[[], web.Application], address: str, marked: MarkedCrash
 ) -> None:
-    """Serve on ``address`` until a stop signal, anew after each end.
+    """Serve on ``address`` until a stop signal; restart after each crash.
 
-    :param make_app: the application of one start.
+    :param make_app: makes the application of each start.
     """
     stop = stop_event()
     while not stop.is_set():
@@ -52,9 +52,9 @@
         marked.starts += 1
         wait_s = CRASH_CLEANUP_S if marked.marker else SHUTDOWN_TIMEOUT_S
         runner = await _start(make_app(), address, wait_s)
-        await _first_of(stop, marked.crashed)
+        await _wait_any(stop, marked.crashed)
         if marked.crashed.is_set():
-            await _cut(runner)
+            await _crash(runner)
             await asyncio.sleep(marked.restart_delay_s)
         else:
             await runner.cleanup()
@@ -68,14 +68,14 @@
     return runner
 
 
-async def _first_of(*events: asyncio.Event) -> None:
+async def _wait_any(*events: asyncio.Event) -> None:
     waits = [asyncio.ensure_future(event.wait()) for event in events]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
         wait.cancel()
 
 
-async def _cut(runner: web.AppRunner) -> None:
+async def _crash(runner: web.AppRunner) -> None:
     for site in list(runner.sites):
         await site.stop()
     assert runner.server is not None
--- a/src/celerytrack/standins/engine.py
+++ b/src/celerytrack/standins/engine.py
@@ -1,17 +1,16 @@
-"""A stand-in of a model engine, speaking the OpenAI chat completions API.
-
-It batches continuously: up to ``capacity`` sequences run at once and each
-token takes longer as the batch fills. Waiting requests are served by
-priority. Prompts are read in at a fixed rate, in chunks; blocks of a
-prompt that the prefix cache (an LRU of limited size) holds are skipped.
-A stream stops when its connection closes, and a request with
-``resume_from`` goes on behind the tokens its caller has. Load reports
-(``GET /load``) and cache events (``GET /cache_events``) lag, and cache
-events have gaps. Orders (``POST /orders``) carry a fencing number that the
-engine checks unless it is one of those that ignore it.
-
-The text is a pure function of request id and token index, so a caller can
-check that it got the whole answer to its own request and nothing else.
+"""A stand-in for a model engine with the OpenAI chat completions API.
+
+It batches continuously: up to ``capacity`` sequences run at once, and each token takes
+longer as the batch fills. Queued requests are served by priority. Prompts are
+prefilled at a fixed rate, in chunks; prompt blocks in the prefix cache (an LRU of
+limited size) are skipped. A stream stops when its connection closes. A request with
+``resume_from`` continues after the tokens that its caller already has. Load reports
+(``GET /load``) and cache events (``GET /cache_events``) lag, and cache events have
+gaps. Orders (``POST /orders``) carry a fencing token, which the engine checks unless
+``ignores_fence`` is set.
+
+The text is a pure function of request id and token index, so a caller can check that
+it got the whole answer to its own request and nothing else.
 """
 
 import asyncio
@@ -31,12 +30,11 @@
 from celerytrack.standins._common import Faults, apply_faults, faults_routes
 from celerytrack.standins.crashes import MarkedCrash
 
-_CHUNK_TOKENS = 512
-"""Prompt tokens read in at a time."""
+_PREFILL_CHUNK_TOKENS = 512
 
 
 def token_text(request_id: str, index: int) -> str:
-    """The ``index``-th token an engine stand-in emits for ``request_id``."""
+    """Return the ``index``-th token of the answer to ``request_id``."""
     return f"t{index}.{request_id[-6:]} "
 
 
@@ -52,21 +50,24 @@
 
 @attrs.define
 class _Prefill:
-    """A prompt to be read in."""
+    """A prompt in the prefill queue.
+
+    :ivar tokens: tokens still to prefill; cached ones are subtracted once it starts.
+    """
 
     blocks: tuple[int, ...]
     tokens: int
     done: asyncio.Future[None]
-    begun: bool = False
+    started: bool = False
 
 
 @attrs.define
 class EngineState:
     """The engine's batch, queue, cache and order history.
 
-    :ivar knobs: lags, event gaps, and ``cut_streams``: how many streams to
-        break off after ``cut_after_tokens`` tokens.
-    :ivar marked: which prompts end the engine's process.
+    :ivar knobs: lags, event gaps, and ``cut_streams``: how many streams to abort after
+        ``cut_after_tokens`` tokens.
+    :ivar marked: which prompts crash the engine.
     """
 
     replica_id: str
@@ -90,12 +91,12 @@
     hit_blocks: int = 0
     asked_blocks: int = 0
     report: dict[str, Any] = attrs.field(factory=dict)
-    _reader: asyncio.Task[None] | None = None
+    _prefiller: asyncio.Task[None] | None = None
     _seq: itertools.count = attrs.field(factory=itertools.count)
     _rng: random.Random = attrs.field(factory=lambda: random.Random(7))
 
     async def acquire(self, priority: int) -> None:
-        """Wait for a place in the batch; lower priority numbers first."""
+        """Wait for a slot in the batch; lower priority numbers first."""
         if self.running < self.capacity and not self.queue:
             self.running += 1
             return
@@ -109,7 +110,7 @@
             raise
 
     def release(self) -> None:
-        """Give a place in the batch to the next request."""
+        """Hand the batch slot to the next queued request, or free it."""
         while self.queue:
             _, _, fut = heapq.heappop(self.queue)
             if not fut.done():
@@ -118,36 +119,38 @@
         self.running -= 1
 
     async def prefill(self, prompt: str, priority: int) -> None:
-        """Read in the prompt's blocks that are not cached: in chunks, the
-        most urgent prompt's next."""
+        """Prefill the uncached blocks of a prompt.
+
+        Prefill runs in chunks; the next chunk is of the most urgent prompt.
+        """
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         job = _Prefill(prompt_blocks(prompt), count_tokens(prompt), done)
         heapq.heappush(self.prefills, (priority, next(self._seq), job))
-        if self._reader is None or self._reader.done():
-            self._reader = asyncio.create_task(self._read_all())
+        if self._prefiller is None or self._prefiller.done():
+            self._prefiller = asyncio.create_task(self._prefill_all())
         await done
 
-    async def _read_all(self) -> None:
+    async def _prefill_all(self) -> None:
         while self.prefills:
-            entry = self.prefills[0]
-            job = entry[2]
+            item = self.prefills[0]
+            job = item[2]
             if not job.done.done():
-                if not job.begun:
-                    job.begun = True
+                if not job.started:
+                    job.started = True
                     job.tokens -= self._use_cache(job.blocks) * BLOCK_TOKENS
-                chunk = max(0, min(job.tokens, _CHUNK_TOKENS))
+                chunk = max(0, min(job.tokens, _PREFILL_CHUNK_TOKENS))
                 await asyncio.sleep(chunk * self.prefill_s_per_token)
                 job.tokens -= chunk
                 if job.tokens > 0:
                     continue
-            # A more urgent prompt may have come before it meanwhile.
-            self.prefills.remove(entry)
+            # A more urgent prompt may be at the head of the heap by now.
+            self.prefills.remove(item)
             heapq.heapify(self.prefills)
             if not job.done.done():
                 job.done.set_result(None)
 
     def _use_cache(self, blocks: tuple[int, ...]) -> int:
-        """Look ``blocks`` up, inserting what misses; how many were cached."""
+        """Look up and insert ``blocks``; return the length of the cached prefix."""
         hit = 0
         while hit < len(blocks) and blocks[hit] in self.cache:
             hit += 1
@@ -157,13 +160,13 @@
         return hit
 
     def insert_blocks(self, blocks: Sequence[int]) -> None:
-        """Have ``blocks`` of one prompt in the cache, as used just now."""
+        """Insert ``blocks`` of one prompt into the cache as the most recently used."""
         now_s = time.time()
         for block in blocks:
             if block not in self.cache:
                 self._event(now_s, "stored", block)
-        # The first blocks are touched last: the end of a prompt, which no
-        # other shares, is evicted before the prefix that many share.
+        # The first blocks are touched last, so that the end of a prompt, which no
+        # other prompt shares, is evicted before the prefix that many share.
         for block in reversed(blocks):
             self.cache[block] = None
             self.cache.move_to_end(block)
@@ -208,7 +211,7 @@
         await resp.write(_chunk(request_id, model, first, last, total))
         if state.knobs["cut_streams"] and last >= state.knobs["cut_after_tokens"]:
             state.knobs["cut_streams"] -= 1
-            raise ConnectionResetError("cut by knob")
+            raise ConnectionResetError("aborted by the cut_streams fault")
     await resp.write(DONE_EVENT)
 
 
@@ -273,13 +276,13 @@
         return web.json_response({"ok": True, "fence": state.fence})
 
     async def export_kv(request: web.Request) -> web.Response:
-        """The asked blocks that are cached: what a prefix of them covers."""
+        """Return the longest prefix of the requested blocks that is cached."""
         blocks = (await request.json())["blocks"]
-        held = list(itertools.takewhile(lambda b: b in state.cache, blocks))
-        return web.json_response({"blocks": held})
+        cached = list(itertools.takewhile(lambda b: b in state.cache, blocks))
+        return web.json_response({"blocks": cached})
 
     async def import_kv(request: web.Request) -> web.Response:
-        """Take blocks exported by another engine into the cache."""
+        """Insert blocks that another engine exported into the cache."""
         state.insert_blocks((await request.json())["blocks"])
         return web.json_response({"ok": True})
 
--- a/src/celerytrack/standins/instances.py
+++ b/src/celerytrack/standins/instances.py
@@ -1,8 +1,8 @@
-"""A stand-in of the platform's instance list: live and leaving instances.
+"""A stand-in for the platform's instance list: live and leaving instances.
 
-``GET /instances`` answers with the list as it was ``lag_s`` ago, as the real
-list lags. ``POST /instances/{id}`` with ``{"state": "leaving"}`` (or
-``live``, ``gone``) changes one instance now.
+``GET /instances`` returns the list as it was ``lag_s`` ago, because the real list lags.
+``POST /instances/{id}`` with ``{"state": "leaving"}`` (or ``live``, ``gone``) changes
+one instance immediately.
 """
 
 import time
@@ -17,7 +17,7 @@
 
 @attrs.define
 class InstancesState:
-    """The instance list and its history, for the lag."""
+    """The instance list, and its history to answer with a lag."""
 
     current: dict[str, dict[str, Any]]
     faults: Faults = attrs.field(factory=Faults)
@@ -30,9 +30,9 @@
             self.current[instance_id]["state"] = status
 
     def list_at(self, now_s: float) -> dict[str, dict[str, Any]]:
-        """The list as a reader sees it at ``now_s``."""
+        """Return the list that a read at ``now_s`` gets, which lags by ``lag_s``."""
         cutoff = now_s - float(self.knobs["lag_s"])
-        # Each history item is the list as it was just before a change at t.
+        # Each history item is the list just before the change at its time.
         for changed_at, before in self.history:
             if changed_at > cutoff:
                 return before
@@ -40,7 +40,7 @@
 
 
 def seed(fleet: FleetSettings) -> dict[str, dict[str, Any]]:
-    """The instance list for ``fleet`` with everything live."""
+    """Return the instance list of ``fleet`` with all instances live."""
     items: dict[str, dict[str, Any]] = {}
     for entry in fleet.entries:
         items[entry.entry_id] = {
--- a/src/celerytrack/standins/log.py
+++ b/src/celerytrack/standins/log.py
@@ -1,6 +1,6 @@
-"""A stand-in of the platform's append-only log service.
+"""A stand-in for the platform's append-only log service.
 
-Protocol (HTTP, JSON bodies), which the real service is met through:
+Protocol (HTTP, JSON bodies), which is also how the real service is reached:
 
 - ``POST /streams/{name}`` with ``{"records": [...], "expected_offset": n}``:
   append; with ``expected_offset`` the append happens only if the stream's
@@ -9,8 +9,8 @@
   waiting up to ``t`` seconds for the first; 410 below the retained start.
 - ``GET /streams/{name}/last``: the last record.
 
-Knobs: outages, slowness, lost replies, cut clients, an appends-per-second
-limit for all streams, and retention by age.
+Knobs: outages, slow answers, lost replies, partitioned clients, a limit of appends per
+second over all streams, and retention by age.
 """
 
 import asyncio
@@ -58,7 +58,7 @@
         return self.streams.setdefault(name, _Stream())
 
     def try_acquire_append(self, now_s: float) -> bool:
-        """Whether ``appends_per_s`` allows one more append now."""
+        """Return whether ``appends_per_s`` allows one more append now."""
         return self.bucket.try_acquire(float(self.knobs["appends_per_s"]), now_s)
 
     def expire(self, stream: _Stream, now_s: float) -> None:
--- a/src/celerytrack/standins/service.py
+++ b/src/celerytrack/standins/service.py
@@ -1,8 +1,8 @@
-"""A stand-in of a plain service: a status lookup and a claim filing.
+"""A stand-in for a plain service: a status lookup and a claim filing.
 
-``POST /call/{operation}`` runs an operation. Filing does not check for
-repeats, like the real services the brief describes: running it twice files
-twice. ``GET /_stats`` counts runs by request id, so a test sees doubles.
+``POST /call/{operation}`` runs an operation. Like the real services, filing is not
+idempotent: running it twice files twice. ``GET /_stats`` counts runs by request id, so
+that a test sees repeated runs.
 """
 
 import asyncio
@@ -19,7 +19,11 @@
 
 @attrs.define
 class ServiceState:
-    """Runs counted by request id and operation."""
+    """The service's counters.
+
+    :ivar runs: number of runs by operation and request id.
+    :ivar marked: which request bodies crash the service.
+    """
 
     replica_id: str
     latency_s: float = 0.005
@@ -30,7 +34,7 @@
 
 
 def answer_for(request_id: str, operation: str) -> dict[str, Any]:
-    """The answer the stand-in gives, a pure function of its inputs."""
+    """Return the stand-in's answer, a pure function of its inputs."""
     digest = hashlib.sha256(f"{operation}:{request_id}".encode()).hexdigest()[:12]
     return {"operation": operation, "request_id": request_id, "result": digest}
 
--- a/src/celerytrack/standins/weights.py
+++ b/src/celerytrack/standins/weights.py
@@ -1,6 +1,6 @@
-"""A stand-in of the rate-limited weight store.
+"""A stand-in for the rate-limited weight store.
 
-``GET /weights/{model}`` answers 429 beyond ``fetches_per_s``.
+``GET /weights/{model}`` answers 429 above ``fetches_per_s``.
 """
 
 import time
