--- a/src/celerytrack/load/__init__.py
+++ b/src/celerytrack/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load and experiment tool: arrivals, a caller, and the checker."""
+"""The load generator: arrivals, the caller, the checker and the report."""
--- a/src/celerytrack/load/caller.py
+++ b/src/celerytrack/load/caller.py
@@ -1,5 +1,5 @@
-"""A caller as the brief describes it: asks for addresses, keeps them for
-``ttl_s``, connects to an entry itself, and checks what comes back.
+"""A caller that fetches entry addresses, caches them for ``ttl_s``, connects to an
+entry directly and verifies the answers.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 
 class Outcome:
-    """Names of outcomes a request can have."""
+    """Outcomes of a request, as they stand in reports."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -26,10 +26,11 @@
 
 @attrs.define
 class Result:
-    """What one request got.
+    """The result of one request.
 
-    :ivar ttft_s: time to the first token or to the answer.
+    :ivar ttft_s: time to the first token, or to the whole answer of a service.
     :ivar gaps_s: times between tokens.
+    :ivar key: its idempotency key.
     """
 
     work_class: str
@@ -46,10 +47,11 @@
 
 @attrs.define
 class Caller:
-    """Sends requests for many accounts, keeping address answers per account.
+    """Sends requests for many accounts and caches the entry addresses of each.
 
-    :param seed_addresses: entries to ask for addresses at first.
-    :param keys: account id to account key.
+    :ivar seed_addresses: entries to fetch the addresses from.
+    :ivar keys: account id to account key.
+    :ivar routes: by account id: monotonic time of expiry, and addresses.
     """
 
     seed_addresses: list[str]
@@ -85,10 +87,10 @@
         service: bool,
         key: str | None = None,
     ) -> Result:
-        """Send one request, failing over across the entries named for it."""
+        """Send one request; fail over to the account's other entries."""
         key = key or uuid.uuid4().hex
         last = Result(work_class, account, Outcome.FAILED, reason="no entry")
-        unknown = False
+        may_have_run = False
         for attempt in range(3):
             entries = await self._route(account, refresh=attempt > 0)
             for address in entries:
@@ -103,12 +105,13 @@
                     last = Result(
                         work_class, account, Outcome.FAILED, reason="connection"
                     )
-                    unknown = True
+                    may_have_run = True
                     continue
-                if unknown and last.outcome == Outcome.REFUSED:
-                    # This entry ran nothing, but the one that broke off may.
+                if may_have_run and last.outcome == Outcome.REFUSED:
+                    # This entry ran nothing, but the entry whose connection failed
+                    # may have run the request.
                     last.verdict = "may_have_run"
-                # Going elsewhere is right only when nothing ran here.
+                # Another entry may be tried only if nothing ran at this one.
                 if last.outcome == Outcome.REFUSED and last.reason == "draining":
                     continue
                 if last.outcome == Outcome.FAILED:
@@ -180,8 +183,8 @@
                     continue
                 if line == b"data: [DONE]":
                     expected = "".join(token_text(rid, i) for i in range(max_tokens))
-                    whole = "".join(text) == expected
-                    result.outcome = Outcome.DONE if whole else Outcome.WRONG
+                    complete = "".join(text) == expected
+                    result.outcome = Outcome.DONE if complete else Outcome.WRONG
                     break
                 chunk = json.loads(line[6:])
                 if "error" in chunk:
--- a/src/celerytrack/load/checker.py
+++ b/src/celerytrack/load/checker.py
@@ -1,5 +1,5 @@
-"""The checker: reads the ledger from the log and counts what the
-users measure: overspend, double bills, doubled non-idempotent calls.
+"""The checker: reads the ledger from the log and counts what the users measure:
+overspend, double bills and repeated runs of non-idempotent calls.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Audit:
-    """What the log and the back ends show after a run."""
+    """The state of the log and the replicas after a run."""
 
     budgets_tokens: dict[str, int]
     billed_tokens: dict[str, int]
@@ -29,7 +29,7 @@
 
     @property
     def overspend_tokens(self) -> int:
-        """Tokens billed past budgets, summed over accounts."""
+        """Tokens billed in excess of the budgets, summed over all accounts."""
         return sum(
             max(0, t - self.budgets_tokens.get(a, 0))
             for a, t in self.billed_tokens.items()
@@ -48,7 +48,9 @@
                 return out
 
 
-async def _non_idempotent_runs(fleet: FleetSettings, once_classes: set[str]) -> int:
+async def _non_idempotent_runs(
+    fleet: FleetSettings, non_idempotent_classes: set[str]
+) -> int:
     doubles = 0
     async with aiohttp.ClientSession() as http:
         for spec in fleet.replicas:
@@ -62,15 +64,15 @@
             doubles += sum(
                 n - 1
                 for k, n in runs.items()
-                if k.split(":")[0] in once_classes and n > 1
+                if k.split(":")[0] in non_idempotent_classes and n > 1
             )
     return doubles
 
 
-async def audit(fleet: FleetSettings, once_classes: set[str]) -> Audit:
-    """Read the ledger stream whole; ask services for doubles.
+async def audit(fleet: FleetSettings, non_idempotent_classes: set[str]) -> Audit:
+    """Read the whole ledger stream, and the services' counts of repeated runs.
 
-    :param once_classes: classes that must run at most once per key.
+    :param non_idempotent_classes: classes that must run at most once per key.
     """
     log = LogClient(fleet.platform.log_address, "checker")
     try:
@@ -87,7 +89,7 @@
                 bill = Bill.from_json(item)
                 per_request[bill.request_id] += 1
                 billed[bill.account] += bill.tokens
-    doubles = await _non_idempotent_runs(fleet, once_classes)
+    doubles = await _non_idempotent_runs(fleet, non_idempotent_classes)
     return Audit(
         {str(a): t.budget_tokens for a, t in ledger.accounts.items()},
         dict(billed),
@@ -98,6 +100,6 @@
     )
 
 
-def audit_sync(fleet: FleetSettings, once_classes: set[str]) -> Audit:
-    """:func:`audit` for callers without an event loop."""
-    return asyncio.run(audit(fleet, once_classes))
+def audit_sync(fleet: FleetSettings, non_idempotent_classes: set[str]) -> Audit:
+    """Run :func:`audit` from code without an event loop."""
+    return asyncio.run(audit(fleet, non_idempotent_classes))
--- a/src/celerytrack/load/mix.py
+++ b/src/celerytrack/load/mix.py
@@ -1,12 +1,12 @@
-"""The request mixes of the two deployments of the brief.
+"""The request mixes of the two deployments.
 
 Haddad: bursty live hints in class, full marking jobs (long prompts, long
 answers) mostly at night, answer-checks that must not run twice. Padma: long
 claim drafts, follow-up questions, status lookups, claim filings that must
 not run twice.
 
-Prompts are about a quarter of the sizes the users publish (5,382 shared and
-6,610 own tokens for a full paper), so that one machine can carry them.
+Prompts are about a quarter of the users' published sizes (5,382 shared and 6,610
+unique tokens for a full paper), so that the load fits on one machine.
 """
 
 import random
@@ -18,14 +18,14 @@
 class Kind:
     """One kind of request in a mix.
 
-    :ivar work_class: the class of work it names.
+    :ivar work_class: the work class of its requests.
     :ivar share: its share of arrivals.
     :ivar prompt_chars: prompt length (engine classes).
-    :ivar shared_chars: how much of it is one of a few texts that many share
-        (an exam paper, a form), which engines' prefix caches can hold.
-    :ivar texts: how many such texts there are.
-    :ivar max_tokens: tokens asked for (engine classes).
-    :ivar service: whether it is a plain-service call.
+    :ivar shared_chars: length of the prompt's prefix, which is one of a few texts that
+        many prompts share (an exam paper, a form) and prefix caches can hold.
+    :ivar texts: number of such texts.
+    :ivar max_tokens: the request's limit of answer tokens (engine classes).
+    :ivar service: whether it is a call of a plain service.
     """
 
     work_class: str
@@ -39,14 +39,17 @@
 
 @attrs.frozen
 class Mix:
-    """A deployment's kinds of request and how accounts are drawn."""
+    """A deployment's kinds of request, and the distribution over accounts.
+
+    :ivar account_weights: weights of the accounts in configuration order, a few of them
+        large; accounts beyond the tuple weigh 1.
+    """
 
     kinds: tuple[Kind, ...]
     account_weights: tuple[float, ...]
-    """Weights of the accounts in config order: a few large ones."""
 
     def draw(self, rng: random.Random, accounts: list[str]) -> tuple[Kind, str]:
-        """One request's kind and account."""
+        """Draw the kind and the account of one request."""
         kind = rng.choices(self.kinds, [k.share for k in self.kinds])[0]
         weights = list(self.account_weights[: len(accounts)])
         weights += [1.0] * (len(accounts) - len(weights))
--- a/src/celerytrack/load/report.py
+++ b/src/celerytrack/load/report.py
@@ -1,5 +1,5 @@
-"""Tables of a run: latency percentiles from HDR histograms, outcomes, and
-the checker's audit; also as JSON for machines.
+"""Reports of a run, as text and as JSON: latency percentiles from HDR histograms,
+outcomes and the checker's audit.
 """
 
 from collections import Counter, defaultdict
@@ -24,9 +24,9 @@
 def summarise(
     results: list[Result], audit: Audit, targets_s: dict[str, float]
 ) -> dict[str, Any]:
-    """Per-class percentiles and counts, and the audit's figures.
+    """Return the percentiles and counts of each class, and the audit's figures.
 
-    :param targets_s: each class's first-token target.
+    :param targets_s: first-token targets by class.
     """
     by_class: dict[str, list[Result]] = defaultdict(list)
     for result in results:
@@ -71,7 +71,7 @@
 
 
 def _burn(items: list[Result], target_s: float | None) -> float | None:
-    """See :func:`celerytrack.slo.burn`; ``None`` without a target."""
+    """Return the error budget burn; ``None`` without a target or results."""
     if target_s is None or not items:
         return None
     missed = sum(
@@ -83,7 +83,7 @@
 
 
 def table(summary: dict[str, Any]) -> str:
-    """A plain-text table of :func:`summarise`'s output."""
+    """Format the output of :func:`summarise` as a plain-text table."""
     lines = [
         f"{'class':15} {'n':>5} {'ttft p50':>9} {'p95':>8} {'p99':>8} "
         f"{'target':>7} {'gap p95':>8} {'burn':>5}  outcomes"
--- a/src/celerytrack/load/runner.py
+++ b/src/celerytrack/load/runner.py
@@ -1,5 +1,5 @@
-"""Open-loop arrivals: requests start on a Poisson clock, whatever the
-answers do, bounded in count and in time.
+"""Open-loop arrivals: requests start in a Poisson process that does not wait for
+answers, limited in number and time.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 
 @attrs.frozen
 class Plan:
-    """How much load to send.
-
-    :ivar rate_per_s: mean arrivals a second.
-    :ivar duration_s: how long arrivals go on.
-    :ivar max_requests: arrivals at most.
-    :ivar seed: the random seed, so a run can be repeated.
-    :ivar repeats_per_s: how often one marked request is sent beside them, always the
-        same, to an entry drawn at random.
-    :ivar marker: the text that marks it.
+    """The load of one run.
+
+    :ivar rate_per_s: mean arrivals per second.
+    :ivar duration_s: time during which requests arrive.
+    :ivar max_requests: limit of arrivals; the marked requests have the same limit.
+    :ivar seed: random seed, so that a run can be repeated.
+    :ivar repeats_per_s: rate at which one marked request is repeated in addition, each
+        time to an entry drawn at random.
+    :ivar marker: prompt of the marked request.
     """
 
     rate_per_s: float
@@ -35,23 +35,23 @@
 
 
 REPEATED = "repeated"
-"""The class of work by which reports name the marked request."""
+"""Work class under which reports count the marked request."""
 
 
 def prompt_for(kind: Kind, rng: random.Random) -> str:
-    """A prompt that begins with one of the texts its kind shares.
+    """Return a prompt that begins with one of the shared texts of its kind.
 
-    Some texts are much more common than others (Zipf, exponent 1).
+    The texts follow a Zipf distribution with exponent 1.
     """
     if kind.service:
         return ""
     weights = [1 / (i + 1) for i in range(kind.texts)]
     text = rng.choices(range(kind.texts), weights)[0]
     title = f"[{kind.work_class} text {text}] "
-    head = (title * (kind.shared_chars // len(title) + 1))[: kind.shared_chars]
-    own = rng.getrandbits(64)
-    words = f"{own:016x} " * ((kind.prompt_chars - len(head)) // 17 + 1)
-    return (head + words)[: kind.prompt_chars]
+    shared = (title * (kind.shared_chars // len(title) + 1))[: kind.shared_chars]
+    nonce = rng.getrandbits(64)
+    unique = f"{nonce:016x} " * ((kind.prompt_chars - len(shared)) // 17 + 1)
+    return (shared + unique)[: kind.prompt_chars]
 
 
 async def _repeat(
@@ -61,21 +61,21 @@
     keys: dict[str, str],
     http: aiohttp.ClientSession,
 ) -> list[Result]:
-    """Send the marked request again and again; what each time came of it."""
+    """Send the marked request repeatedly; return the result of each time."""
     if not plan.repeats_per_s:
         return []
     rng = random.Random(plan.seed + 1)
     kind = next(kind for kind in mix.kinds if not kind.service)
     account = next(iter(keys))
-    ends_s = time.monotonic() + plan.duration_s
+    end_s = time.monotonic() + plan.duration_s
     tasks: list[asyncio.Task[Result]] = []
-    while time.monotonic() < ends_s and len(tasks) < plan.max_requests:
+    while time.monotonic() < end_s and len(tasks) < plan.max_requests:
         caller = Caller(entries, keys, http)
-        caller.routes[account] = (ends_s, [rng.choice(entries)])
-        sending = caller.send(
+        caller.routes[account] = (end_s, [rng.choice(entries)])
+        request = caller.send(
             kind.work_class, account, plan.marker, kind.max_tokens, False
         )
-        tasks.append(asyncio.create_task(sending))
+        tasks.append(asyncio.create_task(request))
         await asyncio.sleep(rng.expovariate(plan.repeats_per_s))
     results = await asyncio.gather(*tasks)
     return [attrs.evolve(result, work_class=REPEATED) for result in results]
@@ -84,7 +84,7 @@
 async def run_plan(
     plan: Plan, mix: Mix, entries: list[str], keys: dict[str, str]
 ) -> list[Result]:
-    """Send ``plan``'s arrivals through ``entries``; every request's result."""
+    """Send the plan's requests through ``entries``; return all results."""
     rng = random.Random(plan.seed)
     accounts = list(keys)
     connector = aiohttp.TCPConnector(limit=0)
