--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""The operators' tool against processes that answer, and that do not."""
+"""The operators' tool against responsive and unresponsive processes."""
 
 import asyncio
 import signal
@@ -8,17 +8,20 @@
 from tests.fleet import BIN, Fleet, get_json
 from tests.small_fleet import ENTRY, small_fleet, started
 
-WITHIN_S = 15.0
+COMMAND_TIMEOUT_S = 15.0
 
 
 def _ctl(fleet: Fleet, *args: str) -> subprocess.CompletedProcess[str]:
     command = [str(BIN / "celerytrackctl"), *args, "-s", str(fleet.settings_path)]
-    return subprocess.run(command, capture_output=True, text=True, timeout=WITHIN_S)
+    return subprocess.run(
+        command, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S
+    )
 
 
 class CtlTest(unittest.TestCase):
-    def test_a_drain_reaches_the_entry_beside_a_silent_instance_list(self):
-        """Guards against a drain that hangs, and says at last that all is well."""
+    def test_drain_reaches_the_entry_while_the_instance_list_is_unresponsive(self):
+        """Guards against a drain that waits for an instance list that does not answer,
+        and then reports success."""
         asyncio.run(self._drain())
 
     async def _drain(self) -> None:
@@ -31,8 +34,8 @@
             health = await asyncio.to_thread(get_json, address, "/healthz")
             self.assertTrue(health["draining"])
 
-    def test_status_names_what_is_queued(self):
-        """Guards against a status that ends in a traceback."""
+    def test_status_prints_the_number_of_queued_records(self):
+        """Guards against a status command that fails with a traceback."""
         asyncio.run(self._status())
 
     async def _status(self) -> None:
--- a/tests/test_engine_standin.py
+++ b/tests/test_engine_standin.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's own interface, as the entries and tests rely on it."""
+"""The interface of the engine stand-in that entries and tests rely on."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 PROMPT = "p" * 1024
 
 
-def _ask(**changes):
+def _completion_body(**changes):
     message = {"role": "user", "content": PROMPT}
     return {"model": "m", "messages": [message], "max_tokens": 6, **changes}
 
@@ -28,28 +28,29 @@
 async def _text(client: TestClient, **changes) -> str:
     headers = {"X-Request-Id": "r1"}
     path = "/v1/chat/completions"
-    async with client.post(path, json=_ask(**changes), headers=headers) as resp:
+    body = _completion_body(**changes)
+    async with client.post(path, json=body, headers=headers) as resp:
         return (await resp.read()).decode()
 
 
 class EngineStandinTest(unittest.TestCase):
     @params((0, 6), (4, 2), (6, 0))
-    def test_a_stream_goes_on_behind_the_tokens_its_caller_has(self, have, left):
+    def test_a_resumed_stream_continues_after_the_received_tokens(self, received, left):
         async def run() -> str:
             async with _engine() as client:
-                return await _text(client, resume_from=have)
+                return await _text(client, resume_from=received)
 
         text = asyncio.run(run())
         self.assertEqual(text.count("chat.completion.chunk"), left)
         self.assertTrue(text.endswith("data: [DONE]\n\n"))
 
     @params(
-        # ignores the fence, fences sent, status of the last
+        # (ignores_fence, fences sent, status of the last order)
         (False, [2, 3], 200),
         (False, [3, 2], 409),
         (True, [3, 2], 200),
     )
-    def test_orders_are_fenced_unless_ignored(self, ignores, fences, status):
+    def test_orders_are_fenced_unless_fences_are_ignored(self, ignores, fences, status):
         async def run() -> int:
             async with _engine(ignores_fence=ignores) as client:
                 for fence in fences:
@@ -59,7 +60,7 @@
 
         self.assertEqual(asyncio.run(run()), status)
 
-    def test_cached_blocks_move_to_another_engine(self):
+    def test_exported_blocks_are_cache_hits_at_the_engine_that_imports_them(self):
         blocks = list(prompt_blocks(PROMPT))
 
         async def run() -> tuple[list[int], int]:
