--- a/bench/bars.py
+++ b/bench/bars.py
@@ -1,4 +1,4 @@
-"""Rows of two runs of a bench as bars beside each other."""
+"""Bar charts that compare the rows of two runs of a bench."""
 
 from collections.abc import Sequence
 
@@ -9,9 +9,9 @@
 
 @attrs.frozen
 class Panel:
-    """One figure of each scenario.
+    """The chart of one field of the rows, with a bar for each scenario.
 
-    :ivar summed: whether rows hold its sum over all runs; its mean is drawn.
+    :ivar summed: whether the rows hold the sum over all seeds; the mean is drawn.
     """
 
     field: str
@@ -20,7 +20,7 @@
 
 
 def draw(panels: Sequence[Panel], before: Rows, after: Rows, to: str) -> None:
-    """Draw each panel before and after: a column for each size of fleet."""
+    """Draw each panel's bars before and after, in a column for each fleet size."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -37,7 +37,12 @@
     )
     for axes_row, panel in zip(grid, panels, strict=True):
         for axes, entries in zip(axes_row, sizes, strict=True):
-            _bars(axes, _of(before, entries), _of(after, entries), panel)
+            _draw_bars(
+                axes,
+                _rows_by_scenario(before, entries),
+                _rows_by_scenario(after, entries),
+                panel,
+            )
             axes.set_xlabel(panel.title)
             axes.set_title(f"{entries} entries")
     grid[0][0].invert_yaxis()
@@ -45,16 +50,16 @@
     figure.savefig(to, dpi=80)
 
 
-def _of(rows: Rows, entries: int) -> dict[str, dict[str, object]]:
+def _rows_by_scenario(rows: Rows, entries: int) -> dict[str, dict[str, object]]:
     return {str(r["scenario"]): r for r in rows if r["entries"] == entries}
 
 
-def _figure(row: dict[str, object], panel: Panel) -> float:
-    figure = float(str(row[panel.field]))
-    return figure / int(str(row["seeds"])) if panel.summed else figure
+def _mean_value(row: dict[str, object], panel: Panel) -> float:
+    value = float(str(row[panel.field]))
+    return value / int(str(row["seeds"])) if panel.summed else value
 
 
-def _bars(
+def _draw_bars(
     axes,  # type: ignore[no-untyped-def]
     before: dict[str, dict[str, object]],
     after: dict[str, dict[str, object]],
@@ -63,8 +68,8 @@
     names = list(after)
     for shift, rows, label in ((-0.2, before, "before"), (0.2, after, "after")):
         known = [(i, rows[n]) for i, n in enumerate(names) if n in rows]
-        places = [i + shift for i, _ in known]
-        figures = [_figure(r, panel) for _, r in known]
-        axes.barh(places, figures, height=0.38, label=label)
+        positions = [i + shift for i, _ in known]
+        values = [_mean_value(r, panel) for _, r in known]
+        axes.barh(positions, values, height=0.38, label=label)
     axes.locator_params(axis="x", nbins=5)
     axes.set_yticks(range(len(names)), names, fontsize=8)
--- a/bench/control_sweep.py
+++ b/bench/control_sweep.py
@@ -1,10 +1,10 @@
-"""Bench: what an idle entry spends on control as the fleet grows.
+"""Bench: control overhead of an idle entry by the size of the fleet.
 
-Starts fleets of several sizes on loopback with no requests, and reads each
-entry's processor time, memory and bytes read and written (``/proc``; bytes
-over the heartbeat sockets are not in them and are added from the size of a
-heartbeat). Replicas are many ids at the address of one stand-in. Fits a line
-through each sweep and prints slopes with their standard error as JSON.
+Starts fleets of several sizes on loopback without requests, and reads each entry's CPU
+time, memory and bytes read and written from ``/proc``. That byte count leaves out the
+heartbeat sockets, so their bytes are added from the size of a heartbeat. All replica
+ids share the address of one stand-in. Fits a line to each sweep and prints the slopes
+with their standard errors as JSON.
 
     .venv/bin/python -m bench.control_sweep [--seconds 5] [--plot FILE.png]
 """
@@ -101,7 +101,7 @@
 def measure(
     entries: int, replicas: int, accounts: int, seconds: float
 ) -> dict[str, float]:
-    """Mean control cost of one entry of an idle fleet of that size."""
+    """Measure the mean control overhead per entry of an idle fleet of that size."""
     with tempfile.TemporaryDirectory() as tmp:
         fleet = Fleet(_settings(entries, replicas, accounts, pathlib.Path(tmp)))
         try:
@@ -109,16 +109,16 @@
             fleet.publish(100_000)
             fleet.start_entries()
             pids = [fleet.procs[e.entry_id].pid for e in fleet.entry_specs]
-            time.sleep(2.0)  # not synchronisation: let start-up costs pass
+            time.sleep(2.0)  # not synchronisation: excludes the cost of start-up
             before = [_sample(p) for p in pids]
-            time.sleep(seconds)  # not synchronisation: the time measured
+            time.sleep(seconds)  # not synchronisation: the measured interval
             after = [_sample(p) for p in pids]
         finally:
             fleet.stop()
     n = len(pids)
-    news = Heartbeat(EntryId("entry-10"), "b" * 8, 10**6, False, {}).to_bytes()
-    heartbeats = len(news) * 2 * (entries - 1) / HEARTBEAT_S
-    spent = {
+    heartbeat = Heartbeat(EntryId("entry-10"), "b" * 8, 10**6, False, {}).to_bytes()
+    heartbeat_bytes_per_s = len(heartbeat) * 2 * (entries - 1) / HEARTBEAT_S
+    rates = {
         k: sum(a[k] - b[k] for a, b in zip(after, before, strict=True)) / n / seconds
         for k in ("cpu_s", "bytes")
     }
@@ -126,8 +126,8 @@
         "entries": entries,
         "replicas": replicas,
         "accounts": accounts,
-        "cpu_ms_per_s": round(1000 * spent["cpu_s"], 2),
-        "bytes_per_s": round(spent["bytes"] + heartbeats),
+        "cpu_ms_per_s": round(1000 * rates["cpu_s"], 2),
+        "bytes_per_s": round(rates["bytes"] + heartbeat_bytes_per_s),
         "rss_mb": round(sum(a["rss_mb"] for a in after) / n, 1),
     }
 
--- a/bench/core_slopes.py
+++ b/bench/core_slopes.py
@@ -1,9 +1,9 @@
-"""Bench: memory and CPU slopes of the I/O-free core, per item held.
+"""Bench: memory and CPU cost of the I/O-free core, per item in its state.
 
-Measures, with tracemalloc and perf_counter, what an entry's state costs per
-account budget folded, per grant held, per replica tracked and per
-configuration change applied, and what folding a bill and choosing a replica
-take, at several sizes, so the slope can be read.
+Measures with tracemalloc and perf_counter the cost of an entry's state per folded
+account budget, held grant, tracked replica and applied configuration change, and the
+time to fold a bill and to choose a replica. Each is measured at several sizes, so that
+the slope can be read.
 
     .venv/bin/python -m bench.core_slopes
 """
@@ -26,11 +26,11 @@
 def _bytes(build: Callable[[int], Any], n: int) -> float:
     tracemalloc.start()
     before = tracemalloc.take_snapshot()
-    kept = build(n)
+    built = build(n)
     after = tracemalloc.take_snapshot()
     tracemalloc.stop()
     total = sum(s.size_diff for s in after.compare_to(before, "filename"))
-    del kept
+    del built
     return total / n
 
 
@@ -60,17 +60,17 @@
     return ledger
 
 
-def _book(n: int) -> Escrow:
-    book = Escrow(EntryId("entry-1"))
+def _escrow(n: int) -> Escrow:
+    escrow = Escrow(EntryId("entry-1"))
     for i in range(n):
-        book.add(
+        escrow.add(
             HeldGrant(GrantId(f"entry-1.b.{i}"), AccountId(f"acct-{i:06d}"), 4000, 60.0)
         )
-    return book
+    return escrow
 
 
 def _bill_records(n: int) -> list[dict[str, Any]]:
-    """``n`` bills in records of 78, as at target, of 1,000 accounts."""
+    """Return ``n`` bills of 1,000 accounts, 78 in each record as at the target load."""
     bills = [
         Bill(
             RequestId(f"{i:024x}"),
@@ -131,7 +131,7 @@
     out: dict[str, Any] = {}
     for name, build in (
         ("ledger_bytes_per_account", _ledger),
-        ("escrow_bytes_per_grant", _book),
+        ("escrow_bytes_per_grant", _escrow),
         ("replica_bytes_per_tracked", _replicas),
     ):
         out[name] = {n: round(_bytes(build, n), 1) for n in (1000, 10000, 100000)}
--- a/bench/entry_bench.py
+++ b/bench/entry_bench.py
@@ -1,10 +1,11 @@
-"""Bench: what one entry costs per request and per streamed token, the
-latency it adds to the first token and per token, and the log appends the
-fleet makes per request.
+"""Bench: CPU time and latency that one entry adds, and log appends per request.
 
-Runs a one-entry Haddad fleet on loopback with fast engine stand-ins, sends
-two bounded loads through the entry (short and long answers) and one
-straight to an engine, and reads the entry's CPU time from /proc.
+CPU time is measured per request and per streamed token, latency for the first token and
+per token, log appends for the whole fleet.
+
+Runs a one-entry Haddad fleet on loopback with fast engine stand-ins, sends two bounded
+loads through the entry (short and long answers) and one directly to the engines, and
+reads the entry's CPU time from /proc.
 
     .venv/bin/python -m bench.entry_bench [--rate 150] [--seconds 6]
 """
@@ -101,7 +102,7 @@
                     )
                 )
             else:
-                # Round-robin over the same replicas the entry routes to.
+                # Round-robin over the replicas that the entry routes to.
                 target = direct[i % len(direct)]
                 tasks.append(
                     asyncio.create_task(
--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -1,8 +1,9 @@
-"""What a request costs a gateway, with and without requests under suspicion.
+"""Bench: CPU time per request through a gateway, by the number of suspects it tracks.
 
 ``python -m bench.gateway_cost_bench [--requests 1500] [--rounds 5]`` sends requests one
-after another through a gateway on loopback to an endpoint in the same process, and
-prints the processor time of all three for each; the least of the rounds counts.
+after another through a gateway on loopback to an endpoint. Client, gateway and endpoint
+run in one process; the CPU time per request is that of all three, and the minimum over
+the rounds is printed.
 """
 
 import argparse
@@ -24,35 +25,35 @@
     return web.Response(body=b"good", headers=headers)
 
 
-def _suspect(fleet: Fleet, count: int) -> None:
-    """Have ``count`` other requests under suspicion, if this release knows of any."""
+def _add_suspects(fleet: Fleet, count: int) -> None:
+    """Make ``count`` other requests suspects, on releases that track suspects."""
     from celerytrack.findings import Crash
     from celerytrack.ids import EndpointId
 
-    book = fleet.gateways[0].suspects.tracker
-    found = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
+    tracker = fleet.gateways[0].suspects.tracker
+    fingerprints = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
     for number in range(3):
-        ending = Crash(EndpointId(f"i-{number}"))
-        book.record_crash(ending, found, time.monotonic())
+        crash = Crash(EndpointId(f"i-{number}"))
+        tracker.record_crash(crash, fingerprints, time.monotonic())
 
 
 async def _round(fleet: Fleet, requests: int) -> float:
-    began_s = time.process_time()
+    start_s = time.process_time()
     for number in range(requests):
         status, _, _ = await fleet.ask("/plain/x", f"r{number}", body=BODY)
         assert status == 200, status
-    return 1e6 * (time.process_time() - began_s) / requests
+    return 1e6 * (time.process_time() - start_s) / requests
 
 
 async def _measure(requests: int, rounds: int, suspects: int) -> float:
     async with Fleet(Endpoint("i-good", _good)) as fleet:
         if suspects:
-            _suspect(fleet, suspects)
+            _add_suspects(fleet, suspects)
         return min([await _round(fleet, requests) for _ in range(rounds)])
 
 
 def main() -> None:
-    """Print a row for each number of requests under suspicion."""
+    """Print a row for each number of suspects."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=1_500)
     parser.add_argument("--rounds", type=int, default=5)
--- a/bench/partition_bench.py
+++ b/bench/partition_bench.py
@@ -1,13 +1,12 @@
-"""Bench: overspend and false refusals while one entry is cut off from the
-log, our escrow against three baselines.
+"""Bench: overspend and false refusals in a partition, escrow against three baselines.
 
-The I/O-free core (ledger fold, escrow book, refill plan) runs in modelled
-time: one account, two home entries one
-of them cut off for a while, a top-up in the middle of the cut. A refusal is
-false if the account's budget, less all that was spent anywhere, covered the
-request. Baselines: ``static_split`` (each entry has its share of every
-top-up it has seen), ``refuse_when_cut`` (every request asks the log),
-``on_credit`` (a cut entry goes on from the last balance it saw).
+The I/O-free core (ledger fold, escrow, refill plan) runs in simulated time: one
+account, two home entries of which one is partitioned from the log for a while, and a
+top-up in the middle of the partition. A refusal is false if the account's budget, less
+everything spent at any entry, covered the request. Baselines: ``static_split`` (each
+entry has its share of every top-up that it has seen), ``refuse_when_cut`` (every
+request checks with the log), ``on_credit`` (a partitioned entry continues with the last
+balance it saw).
 
     .venv/bin/python -m bench.partition_bench [--cut-s 60] [--cover-s 300]
         [--lease-s 600] [--skew 0.5] [--dies] [--runs 20]
@@ -29,21 +28,24 @@
 ACCOUNT = AccountId("a")
 CUT, HOME = EntryId("cut"), EntryId("home")
 COSTS_TOKENS = (632, 632, 632, 3128)
-"""Three hints to one marking job, as in the load tool's mixes."""
+"""Three hints for each marking job, as in the load generator's mixes."""
 RATE_PER_S = 2.0
 BEFORE_S = 60.0
 AFTER_S = 60.0
 GONE_LAG_S = 30.0
-"""From an entry's death until the platform lists it as gone."""
+"""Time from an entry's crash until the platform lists it as gone."""
 WEIGHTS = {"padma": (10.0, 1.0), "haddad": (1.0, 10.0)}
-"""What a token overspent and a token falsely refused count for each."""
+"""Each user's weights of an overspent token and of a falsely refused token."""
 
 
 @attrs.define
 class World:
-    """The account's truth: what was bought and what was spent.
+    """The account's true state across all entries.
 
-    :ivar reclaim_at_s: when a dead entry's grants are taken back.
+    :ivar bought: tokens topped up.
+    :ivar spent: tokens spent at any entry.
+    :ivar cut: whether the entry ``CUT`` is partitioned.
+    :ivar reclaim_at_s: when the grants of a crashed entry are reclaimed.
     """
 
     bought: int = 0
@@ -53,44 +55,44 @@
 
 
 Serve = Callable[[EntryId, int, float], bool]
-"""Whether an entry serves a request of that cost at that time."""
+"""Returns whether an entry serves a request of a cost (tokens) at a time (seconds)."""
 
 
 def make_escrow(
     world: World, policy: GrantPolicy
 ) -> tuple[Serve, Callable[[int], None]]:
-    """Ours: what :class:`~celerytrack.entry.grant_manager.GrantManager` does,
-    with the log reached at once, or not at all when cut."""
+    """Model :class:`~celerytrack.entry.grant_manager.GrantManager`, with a log that
+    answers at once, or is unreachable while partitioned."""
     log: list[dict[str, Any]] = []
-    folds = {e: Ledger() for e in (CUT, HOME)}
-    books = {e: Escrow(e) for e in (CUT, HOME)}
+    ledgers = {e: Ledger() for e in (CUT, HOME)}
+    escrows = {e: Escrow(e) for e in (CUT, HOME)}
 
     def fold(entry: EntryId) -> None:
-        for offset in range(folds[entry].next_offset, len(log)):
-            folds[entry].apply(offset, log[offset])
+        for offset in range(ledgers[entry].next_offset, len(log)):
+            ledgers[entry].apply(offset, log[offset])
 
     def settle(entry: EntryId, grants: list[HeldGrant]) -> None:
         for grant in grants:
-            books[entry].remove(grant.grant_id)
+            escrows[entry].remove(grant.grant_id)
             log.append({"type": "settle", "grant_id": grant.grant_id})
         fold(entry)
 
     def refill(entry: EntryId, cost: int, now_s: float) -> None:
         fold(entry)
-        settle(entry, books[entry].settleable(now_s))
+        settle(entry, escrows[entry].settleable(now_s))
         for _ in range(2):
-            totals = folds[entry].account(ACCOUNT)
-            held = sum(g.tokens - g.spent_tokens for g in books[entry].held(ACCOUNT))
+            totals = ledgers[entry].account(ACCOUNT)
+            held = sum(g.tokens - g.spent_tokens for g in escrows[entry].held(ACCOUNT))
             plan = plan_refill(
                 cost,
-                books[entry].available(ACCOUNT, now_s),
+                escrows[entry].available(ACCOUNT, now_s),
                 totals.free_tokens,
                 totals.open_tokens - held,
-                books[entry].rate_tokens_per_s(ACCOUNT, now_s),
+                escrows[entry].rate_tokens_per_s(ACCOUNT, now_s),
                 policy,
             )
             if plan.grant_tokens:
-                grant_id = books[entry].new_grant_id("b")
+                grant_id = escrows[entry].new_grant_id("b")
                 log.append(
                     {
                         "type": "grant",
@@ -105,27 +107,27 @@
                 held_grant = HeldGrant(
                     grant_id, ACCOUNT, plan.grant_tokens, now_s + policy.lease_s
                 )
-                books[entry].add(held_grant)
+                escrows[entry].add(held_grant)
             other = CUT if entry == HOME else HOME
             if not plan.others_tokens or world.cut:
                 return
-            settle(other, books[other].idle_grants(ACCOUNT))
+            settle(other, escrows[other].idle_grants(ACCOUNT))
             fold(entry)
 
     def serve(entry: EntryId, cost: int, now_s: float) -> bool:
         if world.reclaim_at_s is not None and now_s >= world.reclaim_at_s:
             world.reclaim_at_s = None
-            settle(CUT, list(books[CUT].grants.values()))
+            settle(CUT, list(escrows[CUT].grants.values()))
         connected = not (world.cut and entry == CUT)
         if connected:
             refill(entry, cost, now_s)
         rid = RequestId(f"{entry}{now_s}")
-        reservation = books[entry].reserve(rid, ACCOUNT, cost, now_s)
+        reservation = escrows[entry].reserve(rid, ACCOUNT, cost, now_s)
         if reservation is None:
             return False
-        charges = books[entry].commit(reservation, cost)
-        # A cut entry's bills reach the log later; the fold counts them in
-        # its open grant meanwhile, which binds the same tokens.
+        charges = escrows[entry].commit(reservation, cost)
+        # Bills of a partitioned entry reach the log later. Until then the fold counts
+        # their tokens as part of its open grant, which reserves the same tokens.
         record = {
             "type": "bills",
             "bills": [Bill(rid, ACCOUNT, "c", charges).to_json()],
@@ -134,7 +136,7 @@
         for item in [w for w in waiting if not (world.cut and w[0] == CUT)]:
             waiting.remove(item)
             log.append(item[1])
-            books[item[0]].confirm(item[2], BillOutcome.CHARGED)
+            escrows[item[0]].confirm(item[2], BillOutcome.CHARGED)
         return True
 
     waiting: list[Any] = []
@@ -154,7 +156,7 @@
 
 
 def make_static_split(world: World) -> tuple[Serve, Callable[[int], None]]:
-    """Each entry owns half of every top-up it has seen."""
+    """Each entry may spend half of every top-up that it has seen."""
     left = {CUT: 0, HOME: 0}
     unseen: list[int] = []
 
@@ -175,7 +177,7 @@
 
 
 def make_refuse_when_cut(world: World) -> tuple[Serve, Callable[[int], None]]:
-    """Every request asks the log; a cut entry refuses."""
+    """Every request is checked with the log; a partitioned entry refuses it."""
 
     def serve(entry: EntryId, cost: int, now_s: float) -> bool:
         if world.cut and entry == CUT:
@@ -186,7 +188,7 @@
 
 
 def make_on_credit(world: World) -> tuple[Serve, Callable[[int], None]]:
-    """Each side of a cut goes on from the last balance it saw."""
+    """Each side of a partition continues with the last balance it saw."""
     unseen = {CUT: 0, HOME: 0}
     bought_seen = {CUT: 0}
 
@@ -205,9 +207,9 @@
 
 
 def run_once(name: str, budget_share: float, args: Any, seed: int) -> dict[str, int]:
-    """One run; tokens asked, overspent and falsely refused.
+    """Run once; return the tokens asked for, overspent and falsely refused.
 
-    :param budget_share: the budget, top-up included, over the demand.
+    :param budget_share: ratio of the budget, including the top-up, to the demand.
     """
     rng = random.Random(seed)
     world = World()
@@ -255,10 +257,10 @@
     parser.add_argument("--cover-s", type=float, default=300.0)
     parser.add_argument("--lease-s", type=float, default=600.0)
     parser.add_argument(
-        "--skew", type=float, default=0.5, help="share at the cut entry"
+        "--skew", type=float, default=0.5, help="request share of partitioned entry"
     )
     parser.add_argument(
-        "--dies", action="store_true", help="the entry dies instead of being cut off"
+        "--dies", action="store_true", help="crash the entry in place of a partition"
     )
     parser.add_argument("--runs", type=int, default=20)
     args = parser.parse_args()
--- a/bench/routing_bench.py
+++ b/bench/routing_bench.py
@@ -1,12 +1,12 @@
-"""Bench: our replica choice against round-robin and least-loaded, on a
-deployment's mix at several shares of capacity, in one run.
+"""Bench: the predictive replica choice against round-robin and least-loaded.
 
-For each policy a fleet (3 entries, the settings' replicas as stand-ins with
-small prefix caches) is started with ``tuning.placement`` set, and the same
-seeded arrivals are sent. Capacity is what the engines could read in and
-generate if every prompt missed the cache (see :func:`capacity_per_s`).
-Prints, as JSON, first-token and between-token percentiles per class,
-refusals and the engines' prefix-cache hit rate; ``--plot`` draws them.
+One run sends a deployment's mix at several shares of capacity. For each policy a fleet
+(3 entries, the settings' replicas as stand-ins with small prefix caches) is started
+with that ``tuning.placement``, and the same seeded arrivals are sent. Capacity is what
+the engines could prefill and generate if every prompt missed the cache (see
+:func:`capacity_per_s`). Prints, as JSON, percentiles of the time to the first token and
+between tokens per class, refusals and the engines' prefix cache hit rate; ``--plot``
+draws them.
 
     .venv/bin/python -m bench.routing_bench [--deployment haddad]
         [--shares 0.5,0.9,1.2] [--seconds 10] [--events on|late|off]
@@ -45,10 +45,10 @@
 
 
 def capacity_per_s(mix: Mix, engines: int) -> float:
-    """Requests a second the engines carry with cold caches.
+    """Return the requests per second that the engines can serve with cold caches.
 
-    The scarcer of reading prompts in (one after another) and generating
-    (a full batch, each token at twice the idle time).
+    The lower capacity decides: prefill (one prompt after another) or generation (a full
+    batch, each token at twice the idle time).
     """
     prefill_s = sum(
         k.share * k.prompt_chars / CHARS_PER_TOKEN * PREFILL_S for k in mix.kinds
@@ -75,7 +75,7 @@
 
 
 def run_one(policy: str, share: float, args: argparse.Namespace) -> dict[str, Any]:
-    """One policy at one share of capacity: the load report's summary."""
+    """Run one policy at one share of capacity; return the load report's summary."""
     mix = MIXES[args.deployment]
     fleet = Fleet(
         args.deployment,
@@ -97,8 +97,8 @@
 
         async def go() -> dict[str, Any]:
             results = await run_plan(plan, mix, entries, keys)
-            once = {c.name for c in fleet.config.classes if not c.idempotent}
-            found = await audit(fleet.fleet, once)
+            non_idempotent = {c.name for c in fleet.config.classes if not c.idempotent}
+            found = await audit(fleet.fleet, non_idempotent)
             targets = {c.name: c.ttft_target_s for c in fleet.config.classes}
             return summarise(results, found, targets)
 
