--- a/tests/test_engine_standin.py
+++ b/tests/test_engine_standin.py
@@ -13,7 +13,7 @@
 PROMPT = "p" * 1024
 
 
-def _completion_body(**changes):
+def _body(**changes):
     message = {"role": "user", "content": PROMPT}
     return {"model": "m", "messages": [message], "max_tokens": 6, **changes}
 
@@ -28,8 +28,7 @@
 async def _text(client: TestClient, **changes) -> str:
     headers = {"X-Request-Id": "r1"}
     path = "/v1/chat/completions"
-    body = _completion_body(**changes)
-    async with client.post(path, json=body, headers=headers) as resp:
+    async with client.post(path, json=_body(**changes), headers=headers) as resp:
         return (await resp.read()).decode()
 
 
