--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -182,7 +182,7 @@
             self.addAsyncCleanup(store.close)
             await _quarantine_everywhere(fleet, run)
             view = await read_suspects(store)
-            (suspect,) = view.book.list_suspects(time.monotonic())
+            (suspect,) = view.tracker.list_suspects(time.monotonic())
             (row,) = suspect_rows(view, time.monotonic())
             self.assertEqual(row["standing"], "shut_out")
             self.assertEqual(len(row["endings"]), len(suspect.crashes))
