--- a/src/celerytrack/cli/_serve.py
+++ b/src/celerytrack/cli/_serve.py
@@ -1,7 +1,4 @@
-"""Running an aiohttp application until SIGTERM or SIGINT, on uvloop.
-
-The event loop comes from aiomisc's entrypoint with a uvloop loop factory.
-"""
+"""Runs an aiohttp application on a uvloop event loop until SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -11,8 +8,8 @@
 import uvloop
 from aiohttp import web
 
-HANDLERS_END_S = 5.0
-"""Time that requests in progress get when a server closes, and again once cancelled."""
+SHUTDOWN_TIMEOUT_S = 5.0
+"""Time that in-flight requests get when a server closes, and again once cancelled."""
 
 Hook = Callable[[], Awaitable[None]]
 Close = Callable[[web.AppRunner], Awaitable[None]]
@@ -31,17 +28,17 @@
     address: str,
     on_start: Hook = _noop,
     close: Close = _close,
-    handlers_end_s: float = HANDLERS_END_S,
+    shutdown_timeout_s: float = SHUTDOWN_TIMEOUT_S,
 ) -> None:
     """Serve ``app`` on ``address`` (``host:port``) until a stop signal.
 
-    :param on_start: runs before the port opens.
-    :param close: runs after the signal, while the port still serves, and closes it.
-    :param handlers_end_s: how long closing waits for requests in progress.
+    :param on_start: awaited before the port opens.
+    :param close: awaited after the signal, while the port is still open; closes it.
+    :param shutdown_timeout_s: how long closing waits for in-flight requests.
     """
     host, port = address.rsplit(":", 1)
     await on_start()
-    runner = web.AppRunner(app, access_log=None, shutdown_timeout=handlers_end_s)
+    runner = web.AppRunner(app, access_log=None, shutdown_timeout=shutdown_timeout_s)
     await runner.setup()
     site = web.TCPSite(runner, host, int(port), reuse_address=True)
     await site.start()
@@ -50,7 +47,7 @@
 
 
 def stop_event() -> asyncio.Event:
-    """Set by the signals that ask the process to stop."""
+    """Return an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for sig in (signal.SIGTERM, signal.SIGINT):
--- a/src/celerytrack/standins/service.py
+++ b/src/celerytrack/standins/service.py
@@ -1,8 +1,8 @@
-"""A stand-in of a plain service: a status lookup and a claim filing.
+"""A stand-in for a plain service: a status lookup and a claim filing.
 
-``POST /call/{operation}`` runs an operation. Filing does not check for
-repeats, like the real services the brief describes: running it twice files
-twice. ``GET /_stats`` counts runs by request id, so a test sees doubles.
+``POST /call/{operation}`` runs an operation. Like the real services, filing is not
+idempotent: running it twice files twice. ``GET /_stats`` counts runs by request id, so
+that a test sees repeated runs.
 """
 
 import asyncio
@@ -14,23 +14,27 @@
 from aiohttp import web
 
 from celerytrack.standins._common import Faults, apply_faults, faults_routes, lose_reply
-from celerytrack.standins.ends import MarkedEnd
+from celerytrack.standins.crashes import MarkedCrash
 
 
 @attrs.define
 class ServiceState:
-    """Runs counted by request id and operation."""
+    """The service's counters.
+
+    :ivar runs: number of runs by operation and request id.
+    :ivar marked: which request bodies crash the service.
+    """
 
     replica_id: str
     latency_s: float = 0.005
     faults: Faults = attrs.field(factory=Faults)
-    marked: MarkedEnd = attrs.field(factory=MarkedEnd)
+    marked: MarkedCrash = attrs.field(factory=MarkedCrash)
     runs: dict[str, int] = attrs.field(factory=dict)
     running: int = 0
 
 
 def answer_for(request_id: str, operation: str) -> dict[str, Any]:
-    """The answer the stand-in gives, a pure function of its inputs."""
+    """Return the stand-in's answer, a pure function of its inputs."""
     digest = hashlib.sha256(f"{operation}:{request_id}".encode()).hexdigest()[:12]
     return {"operation": operation, "request_id": request_id, "result": digest}
 
@@ -49,7 +53,7 @@
         state.running += 1
         try:
             await asyncio.sleep(state.latency_s)
-            await state.marked.run_marked(text)
+            await state.marked.crash_if_marked(text)
         finally:
             state.running -= 1
         if lose_reply(state.faults, request):
