--- a/src/celerytrack/durations.py
+++ b/src/celerytrack/durations.py
@@ -4,7 +4,7 @@
 import math
 
 MAX_SAMPLES = 50
-"""Most recent requests that are kept per kind."""
+"""Number of recent requests that are kept per kind."""
 MIN_SAMPLES = 3
 """Requests of a kind that are needed for an estimate."""
 ESTIMATE_QUANTILE = 0.95
--- a/src/celerytrack/endpoint.py
+++ b/src/celerytrack/endpoint.py
@@ -203,7 +203,8 @@
     def finish(self, now_s: float, plain: bool) -> None:
         """Record the end of the request, successful or not.
 
-        :param plain: whether the request has no prompt; only then its latency counts.
+        :param plain: whether the request has no prompt; only such requests update the
+            latency.
         """
         if self.finished:
             return
--- a/src/celerytrack/endpoints.py
+++ b/src/celerytrack/endpoints.py
@@ -45,8 +45,8 @@
 so that the part is probably cached at the second home, and at no other engine."""
 COLD_FACTOR = 1.6
 """Factor on the predicted time of an endpoint that is warming up. It is in the middle
-of what cold caches of compiled code and data cost; the endpoint's answers correct
-it."""
+of what cold caches of compiled code and data cost; the endpoint's measured
+answers correct the prediction."""
 CROSS_ZONE_COST_S = 0.004
 """Cost of an endpoint in another failure domain: the network round trip, and the price
 of traffic between domains."""
@@ -267,11 +267,11 @@
         endpoint.failure_rate += FAILURE_EWMA_WEIGHT * (1 - endpoint.failure_rate)
         if hard:
             endpoint.consecutive_failures += 1
-            pause_s = min(
+            ejection_s = min(
                 MIN_EJECTION_S * 2 ** (endpoint.consecutive_failures - 1),
                 MAX_EJECTION_S,
             )
-            endpoint.ejected_until_s = now_s + pause_s
+            endpoint.ejected_until_s = now_s + ejection_s
         elif endpoint.failure_rate > max(
             GREY_FAILURE_RATE, GREY_FAILURE_FACTOR * self._peer_failure_rate(endpoint)
         ):
--- a/src/celerytrack/links.py
+++ b/src/celerytrack/links.py
@@ -1,6 +1,6 @@
 """Which entries take callers, by the capacity of their network links, without I/O.
 
-It serves fleets in which a few entries have wide links and many have narrow ones, while
+Meant for fleets in which a few entries have wide links and many have narrow ones, while
 callers spread evenly over the addresses that they get.
 """
 
--- a/src/celerytrack/member.py
+++ b/src/celerytrack/member.py
@@ -29,7 +29,7 @@
     :ivar front_address: where callers connect.
     :ivar peer_address: where other entries connect.
     :ivar made_s: when the row was made, on the instance's monotonic clock.
-    :ivar clock_offset_s: wall clock less monotonic clock at that moment; it changes
+    :ivar clock_offset_s: wall clock minus monotonic clock at that moment; it changes
         when the instance reboots or its clock is set.
     :ivar started_s: when this incarnation of the entry started, on the monotonic clock.
     :ivar left_at_s: when the last row of the entry's previous incarnation was made, by
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -72,8 +72,8 @@
         """Number of equal shares into which an account's tokens are divided until it is
         known which entries spend them.
 
-        An entry without callers gets no share: nobody could spend the tokens that
-        hundreds of such entries hold, and a power loss would lose them.
+        An entry without callers gets no share: tokens held by hundreds of such entries
+        could not be spent, and a power loss would lose them.
         """
         return self.caller_entries if self.has_callers else math.inf
 
@@ -96,8 +96,8 @@
 class _KnownEntry:
     """The newest row of an entry, when it was read, and the delays of its last rows.
 
-    :ivar delays_s: this entry's monotonic clock at the read less the other entry's wall
-        clock when the row was made.
+    :ivar delays_s: this entry's monotonic clock at the read minus the other entry's
+        wall clock when the row was made.
     """
 
     member: Member
@@ -155,7 +155,7 @@
         have waited for the end of a network partition. Mistaken for a clock that was
         set, that delay would lose all claimed tokens at a power loss.
 
-        :param clock_offset_s: this entry's wall clock less its monotonic clock, now.
+        :param clock_offset_s: this entry's wall clock minus its monotonic clock, now.
         :returns: ``None`` if there are too few other entries.
         """
         others = [known for entry, known in self._entries.items() if entry != self.me]
@@ -169,7 +169,7 @@
         """Like :meth:`clock_lead_s`, but only by entries with :data:`CLOCK_SAMPLES`
         rows.
 
-        :param clock_offset_s: this entry's wall clock less its monotonic clock, now.
+        :param clock_offset_s: this entry's wall clock minus its monotonic clock, now.
         :returns: ``None`` if these are not the majority of the other entries, or fewer
             than :data:`MIN_CLOCK_PEERS`.
         """
@@ -186,7 +186,7 @@
     def mark_leaving(self, entry: EntryId, started_s: float) -> None:
         """Record that the incarnation of ``entry`` of ``started_s`` is leaving.
 
-        Rows of it in state ``SERVING`` were made before its notice.
+        Its rows in state ``SERVING`` were made before it announced that.
         """
         self._leaving_starts_s[entry] = started_s
 
--- a/src/celerytrack/planned_stop.py
+++ b/src/celerytrack/planned_stop.py
@@ -8,11 +8,12 @@
 import attrs
 
 SHUTDOWN_SHARE = 0.15
-"""Share of the grace period that is reserved for its end: to flush the answers, write
-the last row and exit."""
+"""Share of the grace period that is reserved for the shutdown: to flush the answers,
+write the last row and exit."""
 MAX_SHUTDOWN_S = 0.8
 CLOSING_SHARE = 0.6
-"""Share of that end in which listeners and connections close and the process exits."""
+"""Share of the shutdown in which listeners and connections close and the process
+exits."""
 ACCEPT_SHARE = 0.45
 """Share of the grace period in which callers may still arrive."""
 MAX_ACCEPT_S = 3.5
@@ -70,7 +71,8 @@
 
     @property
     def close_timeout_s(self) -> float:
-        """Longest time to close them; the exit may take as long again."""
+        """Longest time to close listeners and connections; the exit may take as long
+        again."""
         return CLOSING_SHARE * self._shutdown_s / 2
 
     @property
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -161,8 +161,8 @@
     def commit(self, reservation: Reservation, used_tokens: int, now_s: float) -> None:
         """Count ``used_tokens`` of a finished request as spent and free the rest.
 
-        A count above the reservation is cut to it: the reservation is the request's
-        largest possible cost, and no more is covered.
+        At most the reservation counts: it is the request's largest possible cost, and
+        no more is covered.
         """
         share = self._share(reservation.account)
         used = min(used_tokens, reservation.tokens)
@@ -222,8 +222,8 @@
     def plan(self, entries: float, now_s: float) -> bool:
         """Decide what to claim of each account next.
 
-        :param entries: how many parts like this entry's an account is divided into
-            until the spend rates are known.
+        :param entries: number of equal shares into which an account is divided until
+            the spend rates are known.
         :returns: whether requests wait for the next row.
         """
         self._entries = max(1.0, entries)
--- a/src/celerytrack/prepaid/own_row.py
+++ b/src/celerytrack/prepaid/own_row.py
@@ -25,7 +25,7 @@
 
     @property
     def is_in_flight(self) -> bool:
-        """Whether a row was sent and is not folded yet."""
+        """Whether a row was made and is not folded yet."""
         return self._in_flight is not None
 
     def published(self, account: AccountId) -> AccountClaim:
@@ -33,7 +33,7 @@
         return self._rows.own_row().get(account, AccountClaim())
 
     def mark_sent(self, row: Mapping[AccountId, AccountClaim], now_s: float) -> None:
-        """Record that ``row`` was made at ``now_s`` and sent to the log."""
+        """Record that ``row`` was made at ``now_s`` and is in flight from now on."""
         self._in_flight = row
         self._made_s = now_s
 
--- a/src/celerytrack/prepaid/policy.py
+++ b/src/celerytrack/prepaid/policy.py
@@ -8,12 +8,12 @@
 """Seconds of its own recent spend that an entry may use at once. A request that finds
 less waits for a row; a power loss loses these tokens."""
 IMMEDIATE_ROUND_TRIPS = 1.5
-"""Row round trips that the immediate tokens last for at least. While the store is slow,
-a round trip takes longer than :data:`IMMEDIATE_S`, and the previous row must cover
-it."""
+"""Least number of row round trips that the immediate tokens last for. While the store
+is slow, a round trip takes longer than :data:`IMMEDIATE_S`, and the previous row must
+cover it."""
 IMMEDIATE_UNSPENT_SHARE = 0.05
-"""Share of the unspent tokens that all entries together have as immediate tokens at
-least, divided by their parts of the spend. It serves bursts of callers that stay with
+"""Smallest share of the unspent tokens that all entries together have as immediate
+tokens, divided by their parts of the spend. It serves bursts of callers that stay with
 one entry, lost rows and the first moments of a partition. A power loss of the whole
 fleet costs this share, which shrinks as the account is used up."""
 UNLOCK_FACTOR = 1.0
@@ -79,8 +79,8 @@
     :ivar used_tokens: known use by all entries.
     :ivar lost_tokens: claimed by earlier incarnations of entries and perhaps not used.
     :ivar others_tokens_per_s: how fast the other entries spend the account.
-    :ivar entries: how many parts like this entry's the account is divided into until
-        the spend rates are known.
+    :ivar entries: number of equal shares into which the account is divided until the
+        spend rates are known.
     :ivar row_round_trip_s: how long it takes to append a row and read it back.
     """
 
--- a/src/celerytrack/prepaid/restore_hold.py
+++ b/src/celerytrack/prepaid/restore_hold.py
@@ -7,9 +7,9 @@
 here; allowances already accepted stay.
 
 A process that ends before it has written in the new era loses what it claimed since the
-backup, and its next incarnation finds only the backed-up row on the log. So that one
-asks the other entries which row of it they know. Claims that no live entry knows may
-be spent a second time; no more than these can be.
+backup, and its next incarnation finds only the backed-up row on the log. That
+incarnation therefore asks the other entries which row of it they know. Only claims that
+no live entry knows may be spent a second time.
 """
 
 from collections.abc import Mapping, Set
--- a/src/celerytrack/prepaid/shares.py
+++ b/src/celerytrack/prepaid/shares.py
@@ -94,8 +94,8 @@
     """This entry's share of one account.
 
     :ivar claim_tokens: what the next row claims.
-    :ivar accepted_tokens: upper bound of the spend whatever the row's age: a claim
-        on the log that was seen to fit.
+    :ivar accepted_tokens: the allowance, an upper bound of the spend whatever the row's
+        age: a claim on the log that was seen to fit.
     :ivar transferred_out_tokens: transferred to other entries under this entry's row.
     :ivar transferred_in_tokens: transferred to this entry under their rows.
     :ivar wanted_tokens: the largest request since the last row that could not be
--- a/src/celerytrack/process_end.py
+++ b/src/celerytrack/process_end.py
@@ -37,8 +37,8 @@
 
 async def has_ended(address: str) -> bool:
     """Whether ``address`` refuses connections, as that of a crashed process does."""
-    for pause_s in CONNECT_DELAYS_S:
-        await asyncio.sleep(pause_s)
+    for delay_s in CONNECT_DELAYS_S:
+        await asyncio.sleep(delay_s)
         if await probe_address(address) is ConnectResult.REFUSED:
             return True
     return False
--- a/src/celerytrack/row_age.py
+++ b/src/celerytrack/row_age.py
@@ -1,7 +1,7 @@
 """The age of an entry's last row when its process restarted, without I/O.
 
-The age bounds what the earlier incarnation may have spent. A monotonic clock lasts as
-long as its instance is up; a wall clock may be set.
+The age bounds what the earlier incarnation may have spent. A monotonic clock
+resets when its instance restarts; a wall clock may be set.
 """
 
 import statistics
@@ -43,8 +43,8 @@
 
     A power loss resets the monotonic clock, and the wall clock alone may have been set
     meanwhile. So the wall clock must have agreed with most others before, by the lead
-    recorded in the row, and must agree now, by the common start times: fewer than half
-    of all clocks are set at one time.
+    recorded in the row, and must agree now, by the common start times. This holds as
+    long as fewer than half of all clocks are set at one time.
 
     :param previous: the last row of the earlier incarnation.
     :param current: this entry's present row.
@@ -53,15 +53,15 @@
     lead_s = previous.clock_lead_s
     if lead_s is None or abs(lead_s) >= CLOCK_AGREEMENT_S:
         return None
-    witnesses = [
+    restarted_peers = [
         row
         for row in others
         if row.left_at_s is not None
         and abs(row.started_at_s - current.started_at_s) < CLOCK_AGREEMENT_S
     ]
-    if len(witnesses) < max(MIN_CLOCK_PEERS, len(others) // 2):
+    if len(restarted_peers) < max(MIN_CLOCK_PEERS, len(others) // 2):
         return None
-    started_at_s = statistics.median(row.started_at_s for row in witnesses)
+    started_at_s = statistics.median(row.started_at_s for row in restarted_peers)
     return _age_s(previous, current, lead_s, started_at_s - current.started_at_s)
 
 
--- a/src/celerytrack/row_rate.py
+++ b/src/celerytrack/row_rate.py
@@ -1,8 +1,8 @@
 """How often entries write their rows, without I/O."""
 
 MIN_HEARTBEAT_INTERVAL_S = 0.3
-"""Longest time between two rows of an entry in a small fleet. A power loss loses the
-record of what was spent since the last row."""
+"""Heartbeat interval in a small fleet; larger fleets have a longer one. A power loss
+loses the record of what was spent since the last row."""
 MAX_FLEET_HEARTBEATS_PER_S = 60.0
 """Most rows per second of all entries together: a tenth of the 600 writes per second
 that the smallest store takes."""
@@ -19,7 +19,7 @@
 
 
 def heartbeat_interval_s(entries: int) -> float:
-    """Longest time between two rows of an entry in a fleet of ``entries``."""
+    """The longest time between two rows of an entry in a fleet of ``entries``."""
     return max(MIN_HEARTBEAT_INTERVAL_S, entries / MAX_FLEET_HEARTBEATS_PER_S)
 
 
--- a/src/celerytrack/suspects.py
+++ b/src/celerytrack/suspects.py
@@ -6,7 +6,7 @@
 
 Harmless requests that run beside a crashing request are suspected too. A request that
 succeeds at any entry is cleared of all its crashes. A request that was running in two
-crashes is probed alone, by one entry at a time.
+crashes is sent only as a probe, by one entry at a time.
 """
 
 import enum
@@ -171,7 +171,7 @@
         """Clear a request that succeeded.
 
         :returns: what to send to the other entries: nothing for a request with a single
-            crash, which no entry holds back.
+            crash, which no entry probes or quarantines.
         """
         suspicion = self._suspects.get(fingerprint)
         single_crash = suspicion and len(suspicion.uncleared) < CRASHES_TO_PROBE
