--- a/src/celerytrack/escrow.py
+++ b/src/celerytrack/escrow.py
@@ -278,7 +278,7 @@
     open_grants: Mapping[GrantId, OpenGrant],
     first_seen_s: Mapping[GrantId, float],
     gone: Iterable[EntryId],
-    me: EntryId,
+    entry_id: EntryId,
     ended_boot_ids: Container[str],
     lease_s: float,
     now_s: float,
@@ -302,13 +302,13 @@
     """
     departed = set(gone)
 
-    def ended(grant: OpenGrant) -> bool:
-        if grant.entry == me:
+    def is_ended(grant: OpenGrant) -> bool:
+        if grant.entry == entry_id:
             return grant.boot_id in ended_boot_ids
         seen_s = first_seen_s.get(grant.grant_id, now_s)
         return grant.entry in departed and now_s - seen_s >= lease_s
 
-    return [grant_id for grant_id, grant in open_grants.items() if ended(grant)]
+    return [grant_id for grant_id, grant in open_grants.items() if is_ended(grant)]
 
 
 def budget_refusal(
--- a/src/celerytrack/gateway/last_row.py
+++ b/src/celerytrack/gateway/last_row.py
@@ -65,7 +65,7 @@
         if previous is None:
             return
         rows = members.members()
-        others = [row for entry, row in rows.items() if entry != members.me]
+        others = [row for entry, row in rows.items() if entry != members.entry_id]
         age_s = age_after_power_loss_s(previous, own_row, others)
         if age_s is None:
             lead_s = members.prompt_clock_lead_s(clock_offset_s())
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -15,11 +15,11 @@
 from celerytrack.lab.virtual_time import Clock, on_instance
 from celerytrack.prepaid import AccountClaim
 
-PEER_S = 0.001
+PEER_ROUND_TRIP_S = 0.001
 """Round trip between two entries."""
 START_S = 0.15
 """Time from the start of a process to its first call."""
-BOOT_STEADY_S = 50_000.0
+MAX_BOOT_MONOTONIC_S = 50_000.0
 """Upper bound of the random monotonic clock reading after a restart of an instance."""
 _T = TypeVar("_T")
 
@@ -39,7 +39,7 @@
         if self._me.partitioned or other.partitioned or other.reservations is None:
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return 0
-        await asyncio.sleep(PEER_S)
+        await asyncio.sleep(PEER_ROUND_TRIP_S)
         transfer = on_instance(
             other.clock, other.reservations.transfer(account, tokens)
         )
@@ -53,7 +53,7 @@
         if self._me.partitioned or other.partitioned or other.share_sync is None:
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
-        await asyncio.sleep(PEER_S)
+        await asyncio.sleep(PEER_ROUND_TRIP_S)
         return other.share_sync.budgets.restore_hold.known_row(me)
 
 
@@ -98,7 +98,7 @@
             str(self.number),
             Zone("z"),
             _PeerClient(self, self._fleet),  # type: ignore[arg-type]
-            loop.time() + self.clock.steady_ahead_s,
+            loop.time() + self.clock.monotonic_ahead_s,
             self._link_mbps,
             eras,
         )
@@ -122,4 +122,4 @@
         for task in list(self._tasks):
             task.cancel()
         self.reservations = self.share_sync = None
-        self.clock = Clock(steady_ahead_s=rng.uniform(0, BOOT_STEADY_S))
+        self.clock = Clock(monotonic_ahead_s=rng.uniform(0, MAX_BOOT_MONOTONIC_S))
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -246,7 +246,7 @@
             return RETRY_ELSEWHERE_AFTER_S
         name, tokens = request.account, request.most_tokens
         reservation = await reservations.reserve(name, tokens, request.work.urgent)
-        now_s = asyncio.get_running_loop().time() + entry.clock.steady_ahead_s
+        now_s = asyncio.get_running_loop().time() + entry.clock.monotonic_ahead_s
         if reservation is None:
             refusal = insufficient_tokens(share_sync, name, tokens, True, now_s)
             if refusal.reason is Reason.BUDGET_EXHAUSTED:
@@ -272,7 +272,7 @@
         delivered = request.output_tokens
         try:
             await asyncio.sleep(request.work.takes_s)
-            now_s = loop.time() + entry.clock.steady_ahead_s
+            now_s = loop.time() + entry.clock.monotonic_ahead_s
             share_sync.budgets.commit(
                 reservation, request.input_tokens + delivered, now_s
             )
--- a/src/celerytrack/lab/virtual_time.py
+++ b/src/celerytrack/lab/virtual_time.py
@@ -25,12 +25,12 @@
 class Clock:
     """The clocks of one instance, relative to virtual time.
 
-    :ivar steady_ahead_s: its monotonic clock minus virtual time.
-    :ivar day_ahead_s: its wall clock minus the true time.
+    :ivar monotonic_ahead_s: its monotonic clock minus virtual time.
+    :ivar wall_ahead_s: its wall clock minus the true time.
     """
 
-    steady_ahead_s: float = 0.0
-    day_ahead_s: float = 0.0
+    monotonic_ahead_s: float = 0.0
+    wall_ahead_s: float = 0.0
 
 
 _TRUE = Clock()
@@ -76,8 +76,8 @@
 @contextlib.contextmanager
 def _patched_clocks(loop: VirtualLoop) -> Iterator[None]:
     monotonic, wall = time.monotonic, time.time
-    time.monotonic = lambda: loop.time() + _clock.get().steady_ahead_s
-    time.time = lambda: EPOCH_S + loop.time() + _clock.get().day_ahead_s
+    time.monotonic = lambda: loop.time() + _clock.get().monotonic_ahead_s
+    time.time = lambda: EPOCH_S + loop.time() + _clock.get().wall_ahead_s
     try:
         yield
     finally:
--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -110,12 +110,12 @@
 class MembershipView:
     """The entries of the fleet, as this entry knows them.
 
-    :param me: this entry.
+    :param entry_id: this entry.
     :param link_mbps: capacity of this entry's network link.
     """
 
-    def __init__(self, me: EntryId, link_mbps: float = 0.0) -> None:
-        self.me = me
+    def __init__(self, entry_id: EntryId, link_mbps: float = 0.0) -> None:
+        self.entry_id = entry_id
         self.link_mbps = link_mbps
         self._entries: dict[EntryId, _KnownEntry] = {}
         self._leaving_starts_s: dict[EntryId, float] = {}
@@ -158,7 +158,9 @@
         :param clock_offset_s: this entry's wall clock minus its monotonic clock, now.
         :returns: ``None`` if there are too few other entries.
         """
-        others = [known for entry, known in self._entries.items() if entry != self.me]
+        others = [
+            known for entry, known in self._entries.items() if entry != self.entry_id
+        ]
         if len(others) < MIN_CLOCK_PEERS:
             return None
         return (
@@ -176,9 +178,9 @@
         shortest_s = [
             min(known.delays_s)
             for entry, known in self._entries.items()
-            if entry != self.me and len(known.delays_s) == CLOCK_SAMPLES
+            if entry != self.entry_id and len(known.delays_s) == CLOCK_SAMPLES
         ]
-        others = len(self._entries.keys() - {self.me})
+        others = len(self._entries.keys() - {self.entry_id})
         if len(shortest_s) < max(MIN_CLOCK_PEERS, others // 2 + 1):
             return None
         return statistics.median(shortest_s) + clock_offset_s
@@ -226,7 +228,7 @@
         return [
             known.member
             for entry, known in self._entries.items()
-            if entry != self.me
+            if entry != self.entry_id
             and known.member.state is MemberState.SERVING
             and self._leaving_starts_s.get(entry) != known.member.started_s
             and not (settled and now_s - known.read_at_s > limit_s)
@@ -254,11 +256,11 @@
 
         caller_peers = tuple(m for m in others if has_callers(m.entry_id, m.link_mbps))
         caller_entries = len(caller_peers) + 1
-        own_rate = rates.get(self.me, 0)
+        own_rate = rates.get(self.entry_id, 0)
         return CallerSplit(
             entries=len(others) + 1,
             caller_peers=caller_peers,
-            has_callers=has_callers(self.me, self.link_mbps),
+            has_callers=has_callers(self.entry_id, self.link_mbps),
             fleet_load_ratio=min(caller_entries, max(1.0, fleet_rate / own_rate))
             if own_rate
             else caller_entries,
--- a/src/celerytrack/prefill.py
+++ b/src/celerytrack/prefill.py
@@ -39,10 +39,10 @@
     LONG = 2
 
 
-def prefill_s(unread_tokens: int, prompt_tokens: int) -> float:
-    """Time to prefill the last ``unread_tokens`` of a prompt."""
-    pairs = unread_tokens * (prompt_tokens - unread_tokens / 2)
-    return unread_tokens / PREFILL_TOKENS_PER_S + pairs * TOKEN_PAIR_S
+def prefill_s(uncached_tokens: int, prompt_tokens: int) -> float:
+    """Time to prefill the last ``uncached_tokens`` of a prompt."""
+    pairs = uncached_tokens * (prompt_tokens - uncached_tokens / 2)
+    return uncached_tokens / PREFILL_TOKENS_PER_S + pairs * TOKEN_PAIR_S
 
 
 def size_of(work_s: float) -> PromptSize:
--- a/src/celerytrack/prepaid/budgets.py
+++ b/src/celerytrack/prepaid/budgets.py
@@ -23,19 +23,19 @@
 class PrepaidBudgets:
     """The folded rows of all entries, and this entry's own share of each account.
 
-    :param me: this entry, which is also the key of its row.
+    :param entry_id: this entry, which is also the key of its row.
     :ivar row_round_trip_s: how long it takes to append a row and read it back.
     """
 
-    def __init__(self, me: EntryId) -> None:
-        self.rows = FoldedRows(me)
+    def __init__(self, entry_id: EntryId) -> None:
+        self.rows = FoldedRows(entry_id)
         self._totals: dict[AccountId, int] = {}
         self._shares: dict[AccountId, Share] = {}
         self._own = OwnRow(self.rows)
         self._entries = 1.0
         self.row_round_trip_s = 0.0
         self._draining = False
-        self.restore_hold = RestoreHold(me)
+        self.restore_hold = RestoreHold(entry_id)
 
     # -- configured totals and folded rows --------------------------------
 
@@ -96,7 +96,7 @@
 
     def merge_own_row(self, row: Mapping[AccountId, AccountClaim]) -> None:
         """Merge this entry's row as a peer knew it before the log was restored."""
-        self.fold(self.rows.me, merge_max(self.rows.own_row(), row))
+        self.fold(self.rows.entry_id, merge_max(self.rows.own_row(), row))
 
     def free_adopted(
         self, left: Mapping[AccountId, AccountClaim], age_s: float
--- a/src/celerytrack/prepaid/restore_hold.py
+++ b/src/celerytrack/prepaid/restore_hold.py
@@ -30,15 +30,15 @@
 class RestoreHold:
     """Rows known before the restore, and the entries that have not written since.
 
-    :param me: this entry.
+    :param entry_id: this entry.
     :ivar active: whether no allowance may rise.
     :ivar duration_s: how long the current or last hold has lasted.
     """
 
-    def __init__(self, me: EntryId) -> None:
+    def __init__(self, entry_id: EntryId) -> None:
         self.active = False
         self.duration_s = 0.0
-        self._me = me
+        self._entry_id = entry_id
         self._era: Era | None = None
         self._since_s = 0.0
         self._known: dict[EntryId, Row] = {}
@@ -53,7 +53,7 @@
         self._era = era
         self._retained = set(self._known)
         self._awaited = (self._awaited if self.active else set()) | awaited
-        self._awaited.discard(self._me)
+        self._awaited.discard(self._entry_id)
         self._since_s = now_s
         self.active = True
 
@@ -77,7 +77,7 @@
             return False
         self.duration_s = now_s - self._since_s
         # Without its own row on the log, an entry has no claim to accept.
-        unwritten = self._me in self._retained
+        unwritten = self._entry_id in self._retained
         waits = bool(self._awaited) and self.duration_s < MAX_HOLD_S
         self.active = unwritten or waits
         return not self.active
@@ -102,7 +102,7 @@
         self._awaited.discard(entry)
 
     def _merge_backup_row(self, entry: EntryId, row: Row) -> None:
-        if entry not in self._known and self.active and entry != self._me:
+        if entry not in self._known and self.active and entry != self._entry_id:
             self._awaited.add(entry)
         self._known[entry] = merge_max(self._known.get(entry, {}), row)
         self._retained.add(entry)
--- a/src/celerytrack/prepaid/rows.py
+++ b/src/celerytrack/prepaid/rows.py
@@ -34,11 +34,11 @@
     Sums are updated as rows are folded, so that the work before each write of a row
     does not grow with the fleet (``bench.rows_bench``).
 
-    :param me: this entry; its own row is included once it is on the log.
+    :param entry_id: this entry; its own row is included once it is on the log.
     """
 
-    def __init__(self, me: EntryId) -> None:
-        self.me = me
+    def __init__(self, entry_id: EntryId) -> None:
+        self.entry_id = entry_id
         self._rows: dict[EntryId, Mapping[AccountId, AccountClaim]] = {}
         self._claimed: dict[AccountId, int] = {}
         self._others: dict[AccountId, RowSums] = {}
@@ -61,7 +61,7 @@
             before = old[account].claimed_tokens if account in old else 0
             after = row[account].claimed_tokens if account in row else 0
             self._claimed[account] = self._claimed.get(account, 0) + after - before
-        if entry != self.me:
+        if entry != self.entry_id:
             self._sum(old, -1)
             self._sum(row, 1)
         return set(accounts)
@@ -79,7 +79,7 @@
         return set(self._rows)
 
     def own_row(self) -> Mapping[AccountId, AccountClaim]:
-        return self._rows.get(self.me, {})
+        return self._rows.get(self.entry_id, {})
 
     def claimed_tokens(self, account: AccountId) -> int:
         """The sum of all claims on ``account``."""
@@ -102,5 +102,5 @@
         return {
             entry: row[account]
             for entry, row in self._rows.items()
-            if entry != self.me and account in row
+            if entry != self.entry_id and account in row
         }
--- a/tests/restored_instance.py
+++ b/tests/restored_instance.py
@@ -91,7 +91,7 @@
                     retry_slack=50.0,
                     max_ttl_s=5.0,
                 ),
-                loop_s + self.clock.steady_ahead_s,
+                loop_s + self.clock.monotonic_ahead_s,
             )
         self.version = 0
         self.departed = {}
@@ -150,7 +150,7 @@
 
     def now_s(self) -> float:
         """Monotonic clock of the instance."""
-        return asyncio.get_running_loop().time() + self.clock.steady_ahead_s
+        return asyncio.get_running_loop().time() + self.clock.monotonic_ahead_s
 
     def share(self):
         """Its share of the account."""
