--- a/src/celerytrack/members.py
+++ b/src/celerytrack/members.py
@@ -72,8 +72,8 @@
         """Number of equal shares into which an account's tokens are divided until it is
         known which entries spend them.
 
-        An entry without callers gets no share: nobody could spend the tokens that
-        hundreds of such entries hold, and a power loss would lose them.
+        An entry without callers gets no share: tokens held by hundreds of such entries
+        could not be spent, and a power loss would lose them.
         """
         return self.caller_entries if self.has_callers else math.inf
 
@@ -96,8 +96,8 @@
 class _KnownEntry:
     """The newest row of an entry, when it was read, and the delays of its last rows.
 
-    :ivar delays_s: this entry's monotonic clock at the read less the other entry's wall
-        clock when the row was made.
+    :ivar delays_s: this entry's monotonic clock at the read minus the other entry's
+        wall clock when the row was made.
     """
 
     member: Member
@@ -110,12 +110,12 @@
 class MembershipView:
     """The entries of the fleet, as this entry knows them.
 
-    :param me: this entry.
+    :param entry_id: this entry.
     :param link_mbps: capacity of this entry's network link.
     """
 
-    def __init__(self, me: EntryId, link_mbps: float = 0.0) -> None:
-        self.me = me
+    def __init__(self, entry_id: EntryId, link_mbps: float = 0.0) -> None:
+        self.entry_id = entry_id
         self.link_mbps = link_mbps
         self._entries: dict[EntryId, _KnownEntry] = {}
         self._leaving_starts_s: dict[EntryId, float] = {}
@@ -155,10 +155,12 @@
         have waited for the end of a network partition. Mistaken for a clock that was
         set, that delay would lose all claimed tokens at a power loss.
 
-        :param clock_offset_s: this entry's wall clock less its monotonic clock, now.
+        :param clock_offset_s: this entry's wall clock minus its monotonic clock, now.
         :returns: ``None`` if there are too few other entries.
         """
-        others = [known for entry, known in self._entries.items() if entry != self.me]
+        others = [
+            known for entry, known in self._entries.items() if entry != self.entry_id
+        ]
         if len(others) < MIN_CLOCK_PEERS:
             return None
         return (
@@ -169,16 +171,16 @@
         """Like :meth:`clock_lead_s`, but only by entries with :data:`CLOCK_SAMPLES`
         rows.
 
-        :param clock_offset_s: this entry's wall clock less its monotonic clock, now.
+        :param clock_offset_s: this entry's wall clock minus its monotonic clock, now.
         :returns: ``None`` if these are not the majority of the other entries, or fewer
             than :data:`MIN_CLOCK_PEERS`.
         """
         shortest_s = [
             min(known.delays_s)
             for entry, known in self._entries.items()
-            if entry != self.me and len(known.delays_s) == CLOCK_SAMPLES
+            if entry != self.entry_id and len(known.delays_s) == CLOCK_SAMPLES
         ]
-        others = len(self._entries.keys() - {self.me})
+        others = len(self._entries.keys() - {self.entry_id})
         if len(shortest_s) < max(MIN_CLOCK_PEERS, others // 2 + 1):
             return None
         return statistics.median(shortest_s) + clock_offset_s
@@ -186,7 +188,7 @@
     def mark_leaving(self, entry: EntryId, started_s: float) -> None:
         """Record that the incarnation of ``entry`` of ``started_s`` is leaving.
 
-        Rows of it in state ``SERVING`` were made before its notice.
+        Its rows in state ``SERVING`` were made before it announced that.
         """
         self._leaving_starts_s[entry] = started_s
 
@@ -226,7 +228,7 @@
         return [
             known.member
             for entry, known in self._entries.items()
-            if entry != self.me
+            if entry != self.entry_id
             and known.member.state is MemberState.SERVING
             and self._leaving_starts_s.get(entry) != known.member.started_s
             and not (settled and now_s - known.read_at_s > limit_s)
@@ -254,11 +256,11 @@
 
         caller_peers = tuple(m for m in others if has_callers(m.entry_id, m.link_mbps))
         caller_entries = len(caller_peers) + 1
-        own_rate = rates.get(self.me, 0)
+        own_rate = rates.get(self.entry_id, 0)
         return CallerSplit(
             entries=len(others) + 1,
             caller_peers=caller_peers,
-            has_callers=has_callers(self.me, self.link_mbps),
+            has_callers=has_callers(self.entry_id, self.link_mbps),
             fleet_load_ratio=min(caller_entries, max(1.0, fleet_rate / own_rate))
             if own_rate
             else caller_entries,
