--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -41,7 +41,7 @@
     """The caller closed its connection before the answer was complete."""
 
 
-class _StreamCutError(Exception):
+class _IncompleteStreamError(Exception):
     """The engine's stream ended before the answer was complete."""
 
 
@@ -143,7 +143,7 @@
             return Failure(bad_status(upstream.status))
         await _relay_events(state, request, sent, upstream, answer)
         return Success(None)
-    except _StreamCutError:
+    except _IncompleteStreamError:
         answer.relay.resumed()
         return Failure(may_have_run(Reason.UPSTREAM_CUT, 1.0, "engine stream cut"))
     finally:
@@ -172,7 +172,7 @@
 ) -> None:
     """Relay the engine's events until the answer is complete.
 
-    :raises _StreamCutError: if the engine's stream ends before that.
+    :raises _IncompleteStreamError: if the engine's stream ends before that.
     :raises _CallerDisconnectedError: if the caller's connection is closed.
     """
     relay = answer.relay
@@ -181,9 +181,9 @@
         try:
             data = await upstream.content.readany()
         except CONNECTION_ERRORS:
-            raise _StreamCutError from None
+            raise _IncompleteStreamError from None
         if not data:
-            raise _StreamCutError
+            raise _IncompleteStreamError
         out = relay.feed(data)
         if not out:
             continue
--- a/src/celerytrack/entry/fleet_view.py
+++ b/src/celerytrack/entry/fleet_view.py
@@ -2,8 +2,8 @@
 exist, which are leaving, and the load of each replica.
 
 The instance list lags, so the replicas' own load reports and cache events and the
-entries' heartbeats are used as well. A replica that is marked as leaving gets no more
-requests at once.
+entries' heartbeats are used as well. As soon as a replica is marked as leaving,
+it gets no more requests.
 """
 
 import asyncio
--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -26,11 +26,11 @@
 _log = logging.getLogger(__name__)
 
 CLAIM_PROPAGATION_S = 0.15
-"""Time until all peers know a claim: one heartbeat interval and its transmission."""
+"""Time until all peers know of a probe: one heartbeat interval and its transmission."""
 TYPICAL_PROBE_S = 1.0
-"""Retry-After while a probe of the request runs; most probes have ended by then."""
+"""``Retry-After`` during a half-open probe: most probes have ended by then."""
 OPERATOR_LIFT_RETRY_AFTER_S = 3_600.0
-"""Retry-After while only an operator or a new release can end the quarantine."""
+"""``Retry-After`` if only an operator or a new release can end the quarantine."""
 SAME_CRASH_WINDOW_S = 1
 """Crashes of one replica within the same second count as one. A replica that restarts
 keeps its id, so the time tells its crashes apart."""
@@ -56,7 +56,7 @@
 
     def __init__(self, entry_id: EntryId) -> None:
         self.tracker = SuspectTracker(entry_id)
-        self._suspects_at: Counter[ReplicaId] = Counter()
+        self._suspects_in_flight: Counter[ReplicaId] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def heartbeat_findings(self, now_s: float) -> Findings | None:
@@ -78,11 +78,13 @@
 
     def quarantine_refusal(self, fingerprint: Fingerprint, now_s: float) -> Refusal:
         """The refusal of a request that is quarantined or probed by another entry."""
-        free_in_s = self.tracker.retry_after_s(fingerprint, now_s)
-        after_s = OPERATOR_LIFT_RETRY_AFTER_S if free_in_s is None else free_in_s
+        allowed_in_s = self.tracker.retry_after_s(fingerprint, now_s)
+        retry_after_s = (
+            OPERATOR_LIFT_RETRY_AFTER_S if allowed_in_s is None else allowed_in_s
+        )
         detail = f"replicas ended under request {fingerprint.hex()}"
-        after_s = max(after_s, TYPICAL_PROBE_S)
-        return did_not_run(Reason.QUARANTINED, after_s, detail)
+        retry_after_s = max(retry_after_s, TYPICAL_PROBE_S)
+        return did_not_run(Reason.QUARANTINED, retry_after_s, detail)
 
     def replicas_to_avoid(
         self, suspect_state: SuspectState, now_s: float
@@ -96,15 +98,15 @@
             return frozenset()
         names = {ReplicaId(name) for name in self.tracker.probed_endpoints(now_s)}
         if suspect_state is not SuspectState.CLEAR:
-            names.update(self._suspects_at.elements())
+            names.update(self._suspects_in_flight.elements())
         return frozenset(names)
 
     async def begin_probe(
         self, fingerprint: Fingerprint, replica: ReplicaId, lasts_s: float
     ) -> bool:
-        """Claim the half-open probe of a suspect request, which one entry runs alone.
+        """Begin a half-open probe: one entry sends the request, and no other does.
 
-        :returns: whether this entry won the claim.
+        :returns: whether this entry may send the probe.
         """
         probe = Probe(fingerprint, EndpointId(replica), lasts_s)
         if self.tracker.begin_probe(probe, time.monotonic()) is None:
@@ -119,15 +121,14 @@
 
     def suspect_sent(self, replica: ReplicaId) -> None:
         """Count a suspect request sent to ``replica``."""
-        self._suspects_at[replica] += 1
+        self._suspects_in_flight[replica] += 1
 
     def suspect_done(self, replica: ReplicaId) -> None:
         """Count a suspect request at ``replica`` that has ended."""
-        self._suspects_at[replica] -= 1
+        self._suspects_in_flight[replica] -= 1
 
     def cancel_probe(self, request: Fingerprinted) -> None:
-        """Release this entry's claim on a probe of the request, if it has one; the
-        probe has no result."""
+        """End this entry's probe of the request, if it runs one, without a result."""
         if self.tracker:
             self.tracker.cancel_probe(request.fingerprint)
 
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -1,5 +1,5 @@
-"""Sends one request to replicas: whether a failed attempt may have run the request,
-and whether another replica is tried."""
+"""Sends one request to replicas; decides whether a failed attempt may have run the
+request, and whether another replica is tried."""
 
 import asyncio
 import enum
@@ -34,8 +34,8 @@
 T = TypeVar("T")
 
 MAX_PROBE_S = 60.0
-"""Longest time for which a request counts as probed, unless the entry that runs the
-probe reports its end."""
+"""Longest time for which a request counts as probed if the entry that runs the probe
+does not report its end."""
 MAX_ATTEMPTS_WITHOUT_TOKENS = 3
 """Consecutive attempts of one request that may end without a token of the answer."""
 CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
