--- a/src/celerytrack/gateway/attempts.py
+++ b/src/celerytrack/gateway/attempts.py
@@ -23,8 +23,8 @@
 from celerytrack.prefill import urgency
 from celerytrack.verdict import Reason, Verdict
 
-_NOT_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-_BROKEN = (aiohttp.ClientError, OSError)
+_CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_CONNECTION_ERRORS = (aiohttp.ClientError, OSError)
 
 AttemptResult = Result["BufferedAnswer | None", AttemptFailure]
 """``Success(None)`` if a stream was relayed completely."""
@@ -78,7 +78,7 @@
             skip_auto_headers=SKIPPED_AUTO_HEADERS,
             allow_redirects=False,
         )
-    except _NOT_CONNECTED as exc:
+    except _CONNECT_ERRORS as exc:
         detail = f"{type(exc).__name__}: {exc}"
         return Failure(
             AttemptFailure(
@@ -89,7 +89,7 @@
                 sent=False,
             )
         )
-    except _BROKEN as exc:
+    except _CONNECTION_ERRORS as exc:
         return _connection_failure(Reason.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, exc)
     complete = False
     try:
@@ -146,7 +146,7 @@
     protocol = _protocol(response)
     try:
         body = await response.read()
-    except _BROKEN as exc:
+    except _CONNECTION_ERRORS as exc:
         return _connection_failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
     if _was_reset(response, protocol):
         return _unusable_answer("an answer without length was reset")
@@ -167,7 +167,7 @@
     while True:
         try:
             data = await response.content.readany()
-        except _BROKEN as exc:
+        except _CONNECTION_ERRORS as exc:
             return _connection_failure(Reason.UPSTREAM_CUT, Verdict.MAY_HAVE_RUN, exc)
         if not data:
             break
--- a/src/celerytrack/gateway/hedged_store.py
+++ b/src/celerytrack/gateway/hedged_store.py
@@ -18,8 +18,8 @@
 MIN_HEDGE_DELAY_S = 0.05
 """Shortest delay before the second call: ten times the usual latency."""
 HEDGE_LATENCY_FACTOR = 4.0
-"""The same as a multiple of the recent latency: a second call would double the load on
-a slow store or a full link to no avail."""
+"""The same delay as a multiple of the mean latency: on a slow store or a full link, an
+earlier second call would double the load to no avail."""
 LATENCY_EWMA_WEIGHT = 0.1
 """Weight of the newest answer in the mean latency."""
 
@@ -55,7 +55,7 @@
     async def append(
         self, topic: str, key: str, value: bytes, writer: Writer
     ) -> Result[int, StoreError]:
-        """Append one keyed record; its offset."""
+        """Append one keyed record; returns its offset."""
 
     async def set_epoch(self, topic: str, writer: Writer) -> Result[None, StoreError]:
         """Fence off appends of lower epochs of ``writer``."""
@@ -101,7 +101,7 @@
     async def append(
         self, topic: str, key: str, value: bytes, writer: Writer
     ) -> Result[int, StoreError]:
-        """Append one keyed record; its offset."""
+        """Append one keyed record; returns its offset."""
         return await self._hedged(
             lambda _: self._store.append(topic, key, value, writer)
         )
--- a/src/celerytrack/gateway/listeners.py
+++ b/src/celerytrack/gateway/listeners.py
@@ -8,7 +8,7 @@
 
 KEEPALIVE_TIMEOUT_S = 60.0
 """Idle time after which a caller's connection is closed: several times the idle time
-after which callers reuse it no more, so that no request meets the close."""
+after which callers stop reusing it, so that no request is sent as it closes."""
 MAX_HEADER_BYTES = 65_536
 """Limit of header bytes: four times what callers may send."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
--- a/src/celerytrack/gateway/peer_messages.py
+++ b/src/celerytrack/gateway/peer_messages.py
@@ -6,7 +6,7 @@
 - A planned stop, as it begins. While the log is slow or unreachable, the row that says
   so arrives late or not at all, and callers would be sent to an entry that leaves.
 - Requests during which endpoints crashed (:mod:`celerytrack.suspects`), as soon as an
-  entry sees it. The log carries them too, but later.
+  entry detects a crash. The log carries them too, but later.
 
 Each message is one datagram to each entry. Delivery is best effort: if a datagram is
 lost, the receiver keeps its previous view, and no request waits for it.
@@ -77,7 +77,7 @@
 def decode_peer_message(data: bytes) -> PeerMessage:
     """Decode a datagram.
 
-    :raises NoteError: naming what is wrong.
+    :raises PeerMessageError: naming what is wrong.
     """
     try:
         fields = msgpack.unpackb(data)
--- a/src/celerytrack/gateway/peer_requests.py
+++ b/src/celerytrack/gateway/peer_requests.py
@@ -1,7 +1,7 @@
 """Requests between entries.
 
-An entry asks others for tokens when the log is unreachable, and for the row they know
-of it when the log has lost that row.
+An entry asks others for tokens when the log is unreachable, and for its own newest row
+when the log may have lost it.
 """
 
 import logging
@@ -29,13 +29,12 @@
 PEER_REQUEST_TIMEOUT_S = 0.15
 """Time limit for a request to another entry. Entries are milliseconds apart, but an
 instance that exceeds its CPU quota is throttled for a tenth of a second. Tokens
-that it transfers after the limit are lost: no entry can spend them."""
+that an entry transfers after the limit are lost: no entry can spend them."""
 CONNECTION_IDLE_S = 10.0
 """Idle time after which a connection to another entry is not reused."""
 _TRANSFER_PATH = "/gift"
 _ROW_PATH = "/row"
 
-
 _TOKENS = v.and_(v.ge(0), v.lt(2**63))
 _converter = strict_converter(forbid_extra_keys=False)
 
@@ -111,8 +110,8 @@
     async def fetch_row(
         self, address: str, entry_id: EntryId
     ) -> Mapping[AccountId, AccountClaim]:
-        """Fetch the row of ``entry_id`` as the entry at ``address`` knows it; empty if
-        that one does not answer."""
+        """Return the claims in the row of ``entry_id`` that the entry at ``address``
+        knows; empty if there is no valid answer."""
         try:
             async with self._session.get(
                 f"http://{address}{_ROW_PATH}", params={"entry": entry_id}
@@ -138,7 +137,7 @@
 def handle_row_query(lookup_row: RowLookup, request: web.BaseRequest) -> web.Response:
     """Answer another entry that queries its own row.
 
-    :param lookup_row: returns the row known of an entry.
+    :param lookup_row: returns the claims in the last known row of an entry.
     """
     row = lookup_row(EntryId(request.query.get("entry", "")))
     return web.Response(body=encode_shares(row))
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -52,7 +52,7 @@
 ) -> AttemptFailure:
     """Return the attempt failure of a quarantined request.
 
-    An earlier attempt may have sent the request.
+    Its verdict is about this attempt only: an earlier one may have sent the request.
     """
     refusal = quarantine_refusal(gateway, exchange, now_s)
     return AttemptFailure(
@@ -67,6 +67,8 @@
 
     While other endpoints have room, no two suspects share an endpoint, and no request
     shares one with a half-open probe.
+
+    :return: ``None`` if no endpoint has room.
     """
     to_avoid = _endpoints_to_avoid(gateway, suspect_state, now_s)
     chosen = _choose(gateway, exchange, [*exchange.tried, *to_avoid], now_s)
--- a/src/celerytrack/gateway/reservations.py
+++ b/src/celerytrack/gateway/reservations.py
@@ -32,8 +32,8 @@
 are too late for a caller that waits for a short answer."""
 DEPLETED_TTL_S = 1.0
 """How long an entry that transferred less than requested is skipped. While the log is
-unreachable its last row stays valid: the same few depleted entries would be asked again
-and again instead of those that hold the remaining tokens."""
+unreachable, that entry's last row stays valid: the same few depleted entries would be
+asked again and again instead of those that hold the remaining tokens."""
 DEPLETED_CACHE_SIZE = 4_096
 """Pairs of account and entry that the cache of depleted entries holds."""
 SHORTFALL_TTL_S = 0.25
@@ -161,8 +161,8 @@
 def _wait_limit_s(may_claim: bool, asked: bool, max_row_wait_s: float) -> float:
     """How long a request waits for rows, from its start.
 
-    :param may_claim: whether a row could claim the missing tokens. If other entries
-        hold them, waiting is of no use before these were asked.
+    :param may_claim: whether a row could claim the missing tokens. If not, other
+        entries hold them, and only asking these helps.
     :param max_row_wait_s: longest time that a request waits for a row in flight.
     """
     if not may_claim:
--- a/src/celerytrack/gateway/share_sync.py
+++ b/src/celerytrack/gateway/share_sync.py
@@ -75,7 +75,7 @@
     ) -> None:
         self.budgets = PrepaidBudgets(entry_id)
         self.members = MembershipView(entry_id, link_mbps)
-        self._pace = RowRateLimiter()
+        self._row_limiter = RowRateLimiter()
         self.state = MemberState.SERVING
         self.started = False
         self._store = store
@@ -155,7 +155,7 @@
                 log_event(_log, Event.SHARES, shares=self.budgets.summary(now_s))
                 await self._write_row()
                 written_s = time.monotonic()
-                await asyncio.sleep(self._pace.next_delay_s(entries, written_s))
+                await asyncio.sleep(self._row_limiter.next_delay_s(entries, written_s))
             self._wake.clear()
             left_s = written_s + interval_s - time.monotonic()
             if self._row_due or self._needs_refencing:
@@ -168,13 +168,16 @@
         self._row_due = True
         self._wake.set()
 
-    async def publish_final_row(self, ends_s: float) -> None:
-        """Return unspent tokens, and wait until ``ends_s`` for the row that says so."""
+    async def publish_final_row(self, until_s: float) -> None:
+        """Return unspent tokens and wait for the row that says so.
+
+        The wait ends at ``until_s`` at the latest.
+        """
         self.budgets.return_unspent()
         self.publish_leaving()
         made = self._rows_made
         while self._rows_folded <= made:
-            left_s = ends_s - time.monotonic()
+            left_s = until_s - time.monotonic()
             if left_s <= 0:
                 return
             await wait_for_event(self._changed, left_s)
@@ -217,9 +220,9 @@
         for row in await asyncio.gather(*queries):
             self.budgets.merge_own_row(row)
 
-    def _plan(self, parts: float, now_s: float) -> bool:
+    def _plan(self, account_shares: float, now_s: float) -> bool:
         was_holding = self.budgets.restore_hold.active
-        urgent = self.budgets.plan(parts, now_s)
+        urgent = self.budgets.plan(account_shares, now_s)
         if was_holding and not self.budgets.restore_hold.active:
             log_hold_ended(self.budgets.restore_hold, self._eras.known)
         return urgent
@@ -351,9 +354,9 @@
     def _drop_missing(self, keys: set[str]) -> None:
         self.budgets.retain_entries({EntryId(key) for key in keys})
 
-    def _on_append_result(self, answered: bool) -> None:
-        self._tail.reachable = answered
-        if not answered:
+    def _on_append_result(self, accepted: bool) -> None:
+        self._tail.reachable = accepted
+        if not accepted:
             # Requests that wait for a row are better served by another entry.
             self._notify_waiters()
 
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -209,7 +209,7 @@
             log_quarantined(_log, suspect)
 
     def update_suspect_metrics(self) -> None:
-        """Set the gauges of requests under suspicion."""
+        """Update the gauges of suspected requests."""
         suspects = self.suspects.tracker.list_suspects(time.monotonic())
         counts = collections.Counter(suspect.state for suspect in suspects)
         for state in (
@@ -230,7 +230,7 @@
                 self._on_findings(message)
 
     def announce_leaving(self) -> None:
-        """Announce the planned stop to the other entries, which send callers here."""
+        """Announce the planned stop, so that no entry sends callers here any longer."""
         members = self.share_sync.members.live_peers(time.monotonic())
         addresses = [member.peer_address for member in members]
         self.peer_messenger.send_leaving(
--- a/src/celerytrack/gateway/suspect_sync.py
+++ b/src/celerytrack/gateway/suspect_sync.py
@@ -51,9 +51,12 @@
 class SuspectSync:
     """Writes this entry's record of suspects and reads the records of other entries.
 
-    :param boot_id: identifies this run of the process as a writer.
+    :param boot_id: id of this process's incarnation, part of its name as a writer.
     :param broadcast: sends a peer message to the other entries.
-    :param on_change: called after findings of another entry are merged.
+    :param on_change: called after findings of another entry, or of this entry's earlier
+        incarnation, are merged.
+    :ivar loaded: whether all records were read once.
+    :ivar entry_count: number of live entries, this one included; sets the write rate.
     """
 
     def __init__(
@@ -137,7 +140,7 @@
         return first == [self._entry_id]
 
     async def _wait_logged(self, timeout_s: float) -> bool:
-        """Wait until all published changes are on the log; whether they are in time."""
+        """Wait for the published changes to be on the log; returns whether they are."""
         wanted = self._changes
         try:
             async with asyncio.timeout(timeout_s):
--- a/src/celerytrack/gateway/tail.py
+++ b/src/celerytrack/gateway/tail.py
@@ -207,7 +207,8 @@
     ) -> bool:
         """Apply an answer of the store; returns whether there was one.
 
-        :param complete_at_s: a time before the store made the answer.
+        :param complete_at_s: a time before the store made the answer. If the answer
+            reaches the end of the topic, all records written before are known.
         """
         match result:
             case Success(batch):
--- a/src/celerytrack/gateway/watches.py
+++ b/src/celerytrack/gateway/watches.py
@@ -18,7 +18,7 @@
 
 
 def make_config_tail(gateway: Gateway) -> KeyedTail:
-    """A tail that applies the operators' configuration."""
+    """Return a tail that applies the operators' configuration."""
 
     def apply(record: KeyedRecord) -> None:
         if record.key == CONFIG_KEY and record.value is not None:
@@ -83,7 +83,7 @@
 
 
 def make_endpoint_tail(gateway: Gateway) -> KeyedTail:
-    """A tail that applies the endpoints' registrations."""
+    """Return a tail that applies the endpoints' registrations."""
 
     def drop(endpoint_id: EndpointId) -> None:
         gateway.endpoints.mark_deregistered(endpoint_id, time.monotonic())
