--- a/src/celerytrack/entry/suspects.py
+++ b/src/celerytrack/entry/suspects.py
@@ -25,7 +25,7 @@
 
 _log = logging.getLogger(__name__)
 
-CLAIM_PROPAGATION_S = 0.15
+PROBE_PROPAGATION_S = 0.15
 """Time until all peers know of a probe: one heartbeat interval and its transmission."""
 TYPICAL_PROBE_S = 1.0
 """``Retry-After`` during a half-open probe: most probes have ended by then."""
@@ -112,7 +112,7 @@
         if self.tracker.begin_probe(probe, time.monotonic()) is None:
             return False
         try:
-            await asyncio.sleep(CLAIM_PROPAGATION_S)
+            await asyncio.sleep(PROBE_PROPAGATION_S)
         except asyncio.CancelledError:
             # The caller disconnected during the wait.
             self.tracker.cancel_probe(fingerprint)
