--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -29,7 +29,7 @@
     from celerytrack.findings import Crash
     from celerytrack.ids import EndpointId
 
-    book = fleet.gateways[0].suspects.tracker
+    book = fleet.gateways[0].suspect_sync.tracker
     found = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
     for number in range(3):
         ending = Crash(EndpointId(f"i-{number}"))
--- a/src/celerytrack/gateway/admission.py
+++ b/src/celerytrack/gateway/admission.py
@@ -42,7 +42,7 @@
     :raises RefusedError: if the request is invalid or cannot be admitted.
     """
     table = gateway.routing_table
-    if table is None or not gateway.endpoints_known or not gateway.suspects.loaded:
+    if table is None or not gateway.endpoints_known or not gateway.suspect_sync.loaded:
         detail = "no configuration read yet"
         raise RefusedError(
             did_not_run(Reason.NO_CONFIG, NO_ENDPOINT_RETRY_AFTER_S, detail)
--- a/src/celerytrack/gateway/exchange.py
+++ b/src/celerytrack/gateway/exchange.py
@@ -120,8 +120,8 @@
         return self._fingerprint
 
     @property
-    def need(self) -> RequestProfile:
-        """What the request needs of an endpoint."""
+    def profile(self) -> RequestProfile:
+        """The service and the prompt, by which an endpoint is chosen."""
         return RequestProfile(self.service, self.facts.parts)
 
     def shorten_deadline(self, at_s: float) -> None:
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -259,7 +259,7 @@
     exchange.tried.append(endpoint.endpoint_id)
     exchange.may_have_run = True
     exchange.choice = chosen
-    dispatch = endpoints.record_dispatch(chosen, exchange.need, now_s)
+    dispatch = endpoints.record_dispatch(chosen, exchange.profile, now_s)
     gateway.announce_prompt(endpoint.endpoint_id, chosen.work_s)
     try:
         result = await attempt(gateway, exchange, endpoint, dispatch)
--- a/src/celerytrack/gateway/quarantine.py
+++ b/src/celerytrack/gateway/quarantine.py
@@ -30,7 +30,7 @@
     gateway: Gateway, exchange: Exchange, now_s: float
 ) -> SuspectState:
     """Return how suspect a request is now."""
-    tracker = gateway.suspects.tracker
+    tracker = gateway.suspect_sync.tracker
     if not tracker or not tracker.has_prefix(exchange.fingerprint_prefix):
         return SuspectState.CLEAR
     builds = gateway.endpoints.available_builds(exchange.service, now_s)
@@ -39,7 +39,9 @@
 
 def quarantine_refusal(gateway: Gateway, exchange: Exchange, now_s: float) -> Refusal:
     """Return the refusal of a quarantined request."""
-    allowed_in_s = gateway.suspects.tracker.retry_after_s(exchange.fingerprint, now_s)
+    allowed_in_s = gateway.suspect_sync.tracker.retry_after_s(
+        exchange.fingerprint, now_s
+    )
     if allowed_in_s is None:
         allowed_in_s = OPERATOR_LIFT_RETRY_AFTER_S
     detail = f"endpoints ended under request {exchange.fingerprint.hex()}"
@@ -80,7 +82,7 @@
 def _endpoints_to_avoid(
     gateway: Gateway, suspect_state: SuspectState, now_s: float
 ) -> set[EndpointId]:
-    tracker = gateway.suspects.tracker
+    tracker = gateway.suspect_sync.tracker
     if not tracker:
         return set()
     endpoints = tracker.probed_endpoints(now_s)
@@ -98,7 +100,7 @@
     connections = service.max_connections if service else 1
     load_ratio = gateway.fleet_load_ratio(now_s)
     return gateway.endpoints.choose(
-        exchange.need, load_ratio, connections, to_avoid, now_s
+        exchange.profile, load_ratio, connections, to_avoid, now_s
     )
 
 
@@ -114,7 +116,7 @@
     probe = Probe(fingerprint, endpoint.endpoint_id, exchange.deadline_at_s - now_s)
     members = gateway.share_sync.members.live_peers(now_s)
     others = [member.entry_id for member in members]
-    if not await gateway.suspects.begin_probe(probe, others):
+    if not await gateway.suspect_sync.begin_probe(probe, others):
         return False
     log_event(
         _log,
@@ -129,8 +131,8 @@
 
 def cancel_probe(gateway: Gateway, exchange: Exchange) -> None:
     """End an inconclusive probe, so that another may begin."""
-    suspects = gateway.suspects
-    suspects.publish(suspects.tracker.cancel_probe(exchange.fingerprint))
+    sync = gateway.suspect_sync
+    sync.publish(sync.tracker.cancel_probe(exchange.fingerprint))
 
 
 def cancel_probe_later(gateway: Gateway, exchange: Exchange) -> None:
@@ -145,15 +147,13 @@
 def record_success(gateway: Gateway, exchange: Exchange) -> None:
     """Clear a request after a complete answer: it did not cause the crashes of other
     endpoints."""
-    suspects = gateway.suspects
-    if not suspects.tracker or not suspects.tracker.has_prefix(
-        exchange.fingerprint_prefix
-    ):
+    sync = gateway.suspect_sync
+    if not sync.tracker or not sync.tracker.has_prefix(exchange.fingerprint_prefix):
         return
-    findings = suspects.tracker.record_success(exchange.fingerprint, time.monotonic())
+    findings = sync.tracker.record_success(exchange.fingerprint, time.monotonic())
     if findings.is_empty:
         return
-    suspects.publish(findings)
+    sync.publish(findings)
     log_event(
         _log,
         Event.SUSPECT_CLEARED,
--- a/src/celerytrack/gateway/server.py
+++ b/src/celerytrack/gateway/server.py
@@ -116,7 +116,7 @@
         gateway = self._gateway
         loops = (
             gateway.share_sync.run(),
-            gateway.suspects.run(),
+            gateway.suspect_sync.run(),
             self._follow(make_config_tail(gateway), CONFIG_PAUSE_S, CONFIG_LONG_POLL_S),
             self._follow(make_endpoint_tail(gateway), ENDPOINT_POLL_S, 0.0),
         )
--- a/src/celerytrack/gateway/state.py
+++ b/src/celerytrack/gateway/state.py
@@ -59,7 +59,7 @@
     :ivar endpoints_known_at_s: the same for the endpoints' registrations.
     :ivar endpoints_read_time_s: duration of the last read of the registrations.
     :ivar endpoints_reachable: whether the store answered that read.
-    :ivar suspects: tracks which requests crash endpoints.
+    :ivar suspect_sync: tracks which requests crash endpoints, here and elsewhere.
     :ivar suspects_in_flight: number of suspected requests that this entry has in
         flight at each endpoint.
     """
@@ -104,7 +104,7 @@
         self.crash_detector = CrashDetector(
             self.endpoints.is_superseded, self._on_endpoint_crash
         )
-        self.suspects = SuspectSync(
+        self.suspect_sync = SuspectSync(
             self.store,
             self.entry_id,
             self.boot_id,
@@ -129,7 +129,7 @@
             not self.leaving
             and self.routing_table is not None
             and self.endpoints_known
-            and self.suspects.loaded
+            and self.suspect_sync.loaded
             and self.share_sync.started
         )
 
@@ -179,13 +179,15 @@
         crash = Crash(
             registration.endpoint_id, registration.born_ms, registration.build
         )
-        found = self.suspects.tracker.record_crash(crash, crashed.interrupted, now_s)
-        self.suspects.publish(found)
+        found = self.suspect_sync.tracker.record_crash(
+            crash, crashed.interrupted, now_s
+        )
+        self.suspect_sync.publish(found)
         self._log_quarantined(found)
 
     def _send_findings(self, findings: Findings) -> None:
         members = self.share_sync.members.live_peers(time.monotonic())
-        self.suspects.entry_count = len(members) + 1
+        self.suspect_sync.entry_count = len(members) + 1
         addresses = [member.peer_address for member in members]
         self.peer_messenger.send_findings(addresses, findings)
 
@@ -193,13 +195,13 @@
         now_s = time.monotonic()
         for evidence in findings.evidence:
             self.endpoints.mark_crashed(evidence.crash.endpoint_id, now_s)
-        self.suspects.receive(findings)
+        self.suspect_sync.receive(findings)
 
     def _log_quarantined(self, findings: Findings) -> None:
         """Log newly quarantined requests, once for the same set of crashes."""
         now_s = time.monotonic()
         for fingerprint in {evidence.fingerprint for evidence in findings.evidence}:
-            suspect = self.suspects.tracker.describe(fingerprint, now_s)
+            suspect = self.suspect_sync.tracker.describe(fingerprint, now_s)
             if suspect.state is not SuspectState.QUARANTINED:
                 continue
             crashes = frozenset(suspect.crashes)
@@ -210,7 +212,7 @@
 
     def update_suspect_metrics(self) -> None:
         """Update the gauges of suspected requests."""
-        suspects = self.suspects.tracker.list_suspects(time.monotonic())
+        suspects = self.suspect_sync.tracker.list_suspects(time.monotonic())
         counts = collections.Counter(suspect.state for suspect in suspects)
         for state in (
             SuspectState.WATCHED,
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
 
 
 def _states(gateway: Gateway) -> list[SuspectState]:
-    suspects = gateway.suspects.tracker.list_suspects(time.monotonic())
+    suspects = gateway.suspect_sync.tracker.list_suspects(time.monotonic())
     return [suspect.state for suspect in suspects]
 
 
@@ -211,7 +211,7 @@
     async def asyncSetUp(self) -> None:
         self.fingerprint = fingerprint_of(FingerprintPrefix(b"place!"), MARKER)
         self.fleet = await self.enterAsyncContext(Fleet(gateways=1))
-        self.sync = self.fleet.gateways[0].suspects
+        self.sync = self.fleet.gateways[0].suspect_sync
         for number in range(2):
             crash = Crash(EndpointId(f"i-{number}"))
             self.sync.tracker.record_crash(crash, [self.fingerprint], time.monotonic())
@@ -250,7 +250,7 @@
             if rendezvous(fingerprint.hex(), [*others, tracker.entry_id], 1) == [first]
         )
         async with Fleet(gateways=1) as fleet:
-            sync = fleet.gateways[0].suspects
+            sync = fleet.gateways[0].suspect_sync
             fleet.log.refused.add(SUSPECTS_TOPIC)
             for number in range(2):
                 crash = Crash(EndpointId(f"i-{number}"))
