--- a/bench/gateway_cost_bench.py
+++ b/bench/gateway_cost_bench.py
@@ -30,7 +30,7 @@
     from celerytrack.findings import Crash
     from celerytrack.ids import EndpointId
 
-    tracker = fleet.gateways[0].suspects.tracker
+    tracker = fleet.gateways[0].suspect_sync.tracker
     fingerprints = [Fingerprint(n.to_bytes(16, "big")) for n in range(count)]
     for number in range(3):
         crash = Crash(EndpointId(f"i-{number}"))
