--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -250,7 +250,8 @@
 ) -> ReplicaLoad:
     """Choose the replica to send a request to.
 
-    :param avoid: replicas that have already failed this request.
+    :param avoid: replicas that failed this request, run a probe or, for a suspect
+        request, run another suspect.
     :raises RefusedError: ``no_capacity`` and ``did_not_run``, with a
         ``retry_after_s``.
     """
--- a/src/celerytrack/entry/stopping.py
+++ b/src/celerytrack/entry/stopping.py
@@ -58,10 +58,10 @@
     )
 
 
-async def finish_by(until_s: float, ending: Coroutine[Any, Any, None]) -> bool:
-    """Run ``ending`` until ``until_s`` at most; whether it finished."""
+async def finish_by(until_s: float, work: Coroutine[Any, Any, None]) -> bool:
+    """Run ``work`` until ``until_s`` at most; returns whether it finished."""
     try:
-        await asyncio.wait_for(ending, max(0.0, until_s - time.monotonic()))
+        await asyncio.wait_for(work, max(0.0, until_s - time.monotonic()))
     except TimeoutError:
         return False
     return True
--- a/src/celerytrack/gateway/peer_messages.py
+++ b/src/celerytrack/gateway/peer_messages.py
@@ -59,7 +59,7 @@
 class LeavingMessage:
     """A planned stop of an entry has begun.
 
-    :ivar started_s: start of the ending incarnation, as in its rows.
+    :ivar started_s: start of the incarnation that stops, as in its rows.
     """
 
     entry_id: EntryId
