--- a/src/celerytrack/lab/after_return.py
+++ b/src/celerytrack/lab/after_return.py
@@ -34,7 +34,7 @@
     """Time from ``back_s`` to the first second in which service is as it would be
     without the fault. Service may degrade again later.
 
-    :param played: requests of all runs with the fault.
+    :param played: requests of all runs with the fault, which ends at ``back_s``.
     :param without: requests of the runs without it.
     :param ends_s: end of the comparison, which counts if service never is normal.
     """
--- a/src/celerytrack/lab/crash_entry.py
+++ b/src/celerytrack/lab/crash_entry.py
@@ -1,7 +1,7 @@
 """A modelled entry that serves crashing requests.
 
-It has the real synchronisation of suspects and its decisions, and a minimal choice of
-endpoints.
+It synchronises suspects and decides about them with the real code, and chooses
+endpoints in a minimal way.
 """
 
 import asyncio
@@ -56,8 +56,8 @@
     :param tracking: whether it tracks the requests that crash endpoints.
     :param announce: sends a peer message from this entry.
     :param on_sent: called for each request that reaches an endpoint.
-    :ivar partitioned: whether no other entry can reach it.
-    :ivar moved_s: when it was last restarted, partitioned or reconnected.
+    :ivar partitioned: whether it is partitioned from all other entries.
+    :ivar last_change_s: when it was last restarted, partitioned or reconnected.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
     ) -> None:
         self.entry_id = EntryId(f"e{number:03}")
         self.partitioned = False
-        self.moved_s = float("-inf")
+        self.last_change_s = float("-inf")
         self.store = ModelStore(log)
         self.sync: SuspectSync | None = None
         self._service = service
--- a/src/celerytrack/lab/crash_fleet.py
+++ b/src/celerytrack/lab/crash_fleet.py
@@ -51,7 +51,7 @@
         self._arrivals: dict[Fingerprint, list[tuple[float, bool]]] = {}
         self._crashes_s: dict[Fingerprint, list[float]] = {}
         self._outcome = CrashOutcome()
-        self._log_restored_s = float("-inf")
+        self._log_available_s = float("-inf")
         self._numbers = itertools.count()
         self._tasks: list[asyncio.Task[Any]] = []
         self._entries = [
@@ -85,7 +85,7 @@
         ]
         for request in crashing:
             self._spawn(self._repeat(request))
-        self._spawn(self._harmless())
+        self._spawn(self._send_harmless_requests())
         began_s = asyncio.get_running_loop().time()
         await asyncio.sleep(self._scenario.lasts_s)
         self._evaluate([request.fingerprint for request in crashing], began_s)
@@ -107,28 +107,28 @@
     async def _repeat(self, request: ModelRequest) -> None:
         while True:
             await asyncio.sleep(self._rng.expovariate(self._scenario.repeats_per_s))
-            self._spawn(self._ask(request))
+            self._spawn(self._send(request))
 
-    async def _harmless(self) -> None:
+    async def _send_harmless_requests(self) -> None:
         while True:
             await asyncio.sleep(self._rng.expovariate(self._scenario.harmless_per_s))
-            self._spawn(self._ask_harmless())
+            self._spawn(self._send_harmless())
 
-    async def _ask_harmless(self) -> None:
+    async def _send_harmless(self) -> None:
         hot = self._rng.random() < HOT_SHARE
         number = self._rng.randrange(HOT) if hot else next(self._numbers)
         body = b"hot %d" % number if hot else b"%d" % number
         long = self._rng.random() < LONG_SHARE
         lasts_s = self._rng.uniform(*(LONG_S if long else SHORT_S))
         request = ModelRequest(fingerprint_of(_PREFIX, body), False, lasts_s)
-        answer = await self._ask(request)
+        answer = await self._send(request)
         if answer is ModelAnswer.DOWN:
             return
         self._outcome.harmless += 1
         self._outcome.served += answer is ModelAnswer.SERVED
         self._outcome.falsely_quarantined += answer is ModelAnswer.QUARANTINED
 
-    async def _ask(self, request: ModelRequest) -> ModelAnswer:
+    async def _send(self, request: ModelRequest) -> ModelAnswer:
         entry = self._rng.choice(self._entries)
         others = [e.entry_id for e in self._entries if e is not entry]
         return await entry.serve(request, others)
@@ -154,18 +154,18 @@
             case CrashFault.LOG_AWAY:
                 self._log.away = True
                 await asyncio.sleep(8.0)
-                self._log_is_back()
+                self._end_log_outage()
             case CrashFault.THIRD_APART:
                 for entry in third:
                     entry.partitioned = True
             case CrashFault.THIRD_CUT:
                 await asyncio.sleep(1.0)
-                self._cut(third, True)
+                self._set_partitioned(third, True)
                 await asyncio.sleep(6.0)
-                self._cut(third, False)
+                self._set_partitioned(third, False)
             case CrashFault.STOPS_IN_TURN:
                 for entry in itertools.cycle(self._entries):
-                    await self._start_again(entry)
+                    await self._restart(entry)
                     await asyncio.sleep(RESTART_PAUSE_S)
             case CrashFault.OLDER_COPY:
                 older = self._log.copy()
@@ -173,21 +173,21 @@
                 self._log.away = True
                 await asyncio.sleep(0.5)
                 self._log.restore(older)
-                self._log_is_back()
+                self._end_log_outage()
 
-    def _log_is_back(self) -> None:
+    def _end_log_outage(self) -> None:
         self._log.away = False
-        self._log_restored_s = asyncio.get_running_loop().time()
+        self._log_available_s = asyncio.get_running_loop().time()
 
-    def _cut(self, entries: list[CrashEntry], cut: bool) -> None:
+    def _set_partitioned(self, entries: list[CrashEntry], partitioned: bool) -> None:
         for entry in entries:
-            entry.partitioned = entry.store.cut = cut
-            entry.moved_s = asyncio.get_running_loop().time()
+            entry.partitioned = entry.store.cut = partitioned
+            entry.last_change_s = asyncio.get_running_loop().time()
 
-    async def _start_again(self, entry: CrashEntry) -> None:
+    async def _restart(self, entry: CrashEntry) -> None:
         entry.stop()
         await entry.start()
-        entry.moved_s = asyncio.get_running_loop().time()
+        entry.last_change_s = asyncio.get_running_loop().time()
 
     # -- evaluation --------------------------------------------------------------
 
@@ -195,11 +195,11 @@
         if not request.crashes:
             return
         now_s = asyncio.get_running_loop().time()
-        moved_s = max(entry.moved_s, self._log_restored_s)
-        moved = now_s - moved_s < KNOWN_WITHIN_S
-        in_touch = not (moved or entry.store.cut or self._log.away)
+        changed_s = max(entry.last_change_s, self._log_available_s)
+        changed_lately = now_s - changed_s < KNOWN_WITHIN_S
+        connected = not (changed_lately or entry.store.cut or self._log.away)
         arrivals = self._arrivals.setdefault(request.fingerprint, [])
-        arrivals.append((now_s, in_touch))
+        arrivals.append((now_s, connected))
         crashes_s = self._crashes_s.setdefault(request.fingerprint, [])
         crashes_s.append(now_s + request.lasts_s)
 
@@ -213,8 +213,8 @@
                 continue
             from_s = crashes_s[CRASHES_TO_QUARANTINE - 1] + KNOWN_WITHIN_S
             late[fingerprint] = sum(
-                at_s > from_s and in_touch
-                for at_s, in_touch in self._arrivals[fingerprint]
+                at_s > from_s and connected
+                for at_s, connected in self._arrivals[fingerprint]
             )
         outcome.late_arrivals = max(late.values(), default=0)
         writes_s = [at_s for at_s in self._log.asked_s if at_s >= began_s]
--- a/src/celerytrack/lab/model_entry.py
+++ b/src/celerytrack/lab/model_entry.py
@@ -46,15 +46,15 @@
         return await transfer
 
     async def fetch_row(
-        self, address: str, me: EntryId
+        self, address: str, entry_id: EntryId
     ) -> Mapping[AccountId, AccountClaim]:
-        """The row of ``me`` as the entry at ``address`` knows it."""
+        """The row of ``entry_id`` as the entry at ``address`` knows it."""
         other = self._fleet[int(address)]
         if self._me.partitioned or other.partitioned or other.share_sync is None:
             await asyncio.sleep(PEER_REQUEST_TIMEOUT_S)
             return {}
         await asyncio.sleep(PEER_ROUND_TRIP_S)
-        return other.share_sync.budgets.restore_hold.known_row(me)
+        return other.share_sync.budgets.restore_hold.known_row(entry_id)
 
 
 class ModelEntry:
--- a/src/celerytrack/lab/model_log.py
+++ b/src/celerytrack/lab/model_log.py
@@ -42,9 +42,9 @@
     :ivar late_s: additional time before an append lands.
     :ivar lost_share: share of reads and appends that are executed without a reply.
     :ivar appends: appends so far; ``bytes_in`` and ``bytes_out`` count their traffic.
-    :ivar away: whether every call is refused.
+    :ivar away: whether the log is unavailable and refuses every call.
     :ivar era: rises by one with each restore from an older backup.
-    :ivar asked_s: when each append arrived, whatever its result.
+    :ivar asked_s: when each append or :meth:`set_epoch` arrived, whatever its result.
     """
 
     rng: random.Random
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -1,8 +1,8 @@
 """A fleet of entries that share prepaid totals, in virtual time.
 
-The real row task, reservations and budgets run on a modelled log with modelled
-callers; an engine is modelled by the duration of its response. Actual spending is
-counted independently of the entries, as the owner of a total would.
+The real share synchronisation, reservations and budgets run on a modelled log with
+modelled callers; an engine is modelled by the duration of its response. Actual spending
+is counted independently of the entries, as the owner of a total would.
 """
 
 import asyncio
@@ -30,9 +30,10 @@
 from celerytrack.verdict import Reason
 
 OWED_SHARE = 0.97
-"""Share of a total into which a request must fit to be owed."""
+"""A request is owed an answer if its largest possible cost still fits into this share
+of the total."""
 SETTLE_S = 1.5
-"""Until this long after its end, a request counts with its largest possible cost."""
+"""Time after a request's end for which its largest possible cost still counts."""
 WIDE_MBPS, NARROW_MBPS = 100.0, 5.0
 LARGEST_FACTOR = 6
 """Ratio of the largest to the median prompt: 39,600 to 6,500 tokens as listed."""
@@ -99,7 +100,7 @@
         """Run the scenario."""
         await asyncio.gather(*(self._start(e) for e in self.entries))
         self._began_s = began_s = asyncio.get_running_loop().time()
-        tasks = [asyncio.create_task(self._fault(f)) for f in self.scenario.faults]
+        tasks = [asyncio.create_task(self._inject(f)) for f in self.scenario.faults]
         scale = self.scenario.announced_count / 9
         tasks += [asyncio.create_task(self._send(w, scale)) for w in self.scenario.mix]
         await asyncio.sleep(self.scenario.runs_s)
@@ -113,7 +114,7 @@
             entry.lose_power(self.rng)
         await asyncio.sleep(0)
         took_s = asyncio.get_running_loop().time() - began_s
-        self._sum_up(took_s)
+        self._summarise(took_s)
         self.outcome.writes_s = [at_s - began_s for at_s in self.log.asked_s]
         return self.outcome
 
@@ -122,9 +123,9 @@
 
     # -- faults -------------------------------------------------------------
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         if fault.kind in (FaultKind.AWAY, FaultKind.RESTORED):
-            await self._log_fault(fault)
+            await self._inject_log_fault(fault)
             return
         await asyncio.sleep(fault.at_s)
         count = max(1, round(fault.share * len(self.entries)))
@@ -142,7 +143,7 @@
         for entry in affected:
             entry.store.cut = entry.partitioned = False
 
-    async def _log_fault(self, fault: Fault) -> None:
+    async def _inject_log_fault(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s - fault.loses_s)
         backup = self.log.copy()
         await asyncio.sleep(fault.loses_s)
@@ -156,13 +157,13 @@
 
     async def _send(self, work: Work, scale: float) -> None:
         began_s = asyncio.get_running_loop().time()
-        for account in self._choices(began_s):
+        for account in self._draw_accounts(began_s):
             await asyncio.sleep(self.rng.expovariate(work.per_s * scale))
             call = asyncio.create_task(self._call(work, account))
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
 
-    def _choices(self, began_s: float) -> Iterator[AccountId]:
+    def _draw_accounts(self, began_s: float) -> Iterator[AccountId]:
         weights = list(self._weights)
         hot = [weights[0] * self.scenario.hot_factor, *weights[1:]]
         loop = asyncio.get_running_loop()
@@ -170,7 +171,7 @@
             is_hot = loop.time() - began_s > self.scenario.runs_s / 3
             yield self.rng.choices(self._names, hot if is_hot else weights)[0]
 
-    def _draw(self, work: Work, name: AccountId) -> _Request:
+    def _draw_request(self, work: Work, name: AccountId) -> _Request:
         size = math.exp(self.rng.gauss(0, work.spread)) * work.input_tokens
         share = min(1.0, self.rng.expovariate(1) * work.output_share)
         inputs = int(min(size, LARGEST_FACTOR * work.input_tokens))
@@ -179,39 +180,41 @@
     async def _call(self, work: Work, name: AccountId) -> None:
         """One caller: sends a request, and once more if it is refused."""
         loop = asyncio.get_running_loop()
-        request = self._draw(work, name)
+        request = self._draw_request(work, name)
         sent_s = loop.time()
-        owed = self._asked(request)
+        owed = self._count_request(request)
         for last in (False, True):
-            up = [e for e in self._reached(name) if e.reservations is not None]
+            up = [
+                e for e in self._reachable_entries(name) if e.reservations is not None
+            ]
             if not up:
                 break
             retry_after_s = await self._try(self.rng.choice(up), request)
             if retry_after_s == 0.0:
                 first_s = loop.time() - sent_s - work.takes_s
-                self._answered(request, owed, sent_s, first_s)
+                self._count_answer(request, owed, sent_s, first_s)
                 return
             if retry_after_s is None or last:
                 break
             left_s = work.deadline_s - (loop.time() - sent_s)
             await asyncio.sleep(min(retry_after_s, left_s / 3))
         self.outcome.refused += owed
-        self._note(owed, sent_s, in_target=False)
+        self._record_request(owed, sent_s, in_target=False)
 
-    def _note(self, owed: bool, sent_s: float, in_target: bool) -> None:
+    def _record_request(self, owed: bool, sent_s: float, in_target: bool) -> None:
         if owed:
             self.outcome.requests.append(
                 SampledRequest(sent_s - self._began_s, in_target)
             )
 
-    def _reached(self, name: AccountId) -> list[ModelEntry]:
+    def _reachable_entries(self, name: AccountId) -> list[ModelEntry]:
         """The entries that an account's callers connect to."""
         rank = self._names.index(name)
         if rank < self.scenario.sticky_accounts:
             return [self.entries[-1 - rank]]
         return self.entries[: self.scenario.announced_count]
 
-    def _asked(self, request: _Request) -> bool:
+    def _count_request(self, request: _Request) -> bool:
         """Count a request; returns whether it is owed."""
         account = self.accounts[request.account]
         owed = account.owes(request.most_tokens)
@@ -221,7 +224,7 @@
         self.outcome.owed_tokens += owed * request.most_tokens
         return owed
 
-    def _answered(
+    def _count_answer(
         self, request: _Request, owed: bool, sent_s: float, first_s: float
     ) -> None:
         # An engine itself takes about half of the target.
@@ -229,7 +232,7 @@
         self.outcome.in_target += in_target
         self.outcome.in_target_tokens += in_target * request.most_tokens
         self.outcome.late += owed and not in_target
-        self._note(owed, sent_s, in_target)
+        self._record_request(owed, sent_s, in_target)
 
     async def _try(self, entry: ModelEntry, request: _Request) -> float | None:
         """One try: 0 if it succeeded, else the delay before a retry, if any."""
@@ -283,13 +286,13 @@
         finally:
             account.spent += delivered
             account.unsettled -= delivered
-            loop.call_later(SETTLE_S, self._settled, account, rest - delivered)
+            loop.call_later(SETTLE_S, self._settle, account, rest - delivered)
 
     @staticmethod
-    def _settled(account: _Account, tokens: int) -> None:
+    def _settle(account: _Account, tokens: int) -> None:
         account.unsettled -= tokens
 
-    def _sum_up(self, took_s: float) -> None:
+    def _summarise(self, took_s: float) -> None:
         outcome = self.outcome
         accounts = self.accounts.items()
         outcome.overspent_tokens = sum(max(0, a.spent - a.total) for _, a in accounts)
--- a/src/celerytrack/lab/prepaid_scenarios.py
+++ b/src/celerytrack/lab/prepaid_scenarios.py
@@ -118,7 +118,7 @@
         them.
     :ivar requests: the owed requests, in the order of their ends; times are since the
         start of the run.
-    :ivar writes_s: when appends arrived at the log, since the start of the run.
+    :ivar writes_s: when writes arrived at the log, since the start of the run.
     :ivar owed: number of owed requests, among them ``in_target`` and ``refused`` ones;
         ``owed_tokens`` and ``in_target_tokens`` are their largest possible costs.
     """
@@ -151,5 +151,5 @@
 
     @property
     def in_target_tokens_share(self) -> float:
-        """The same share weighted by tokens."""
+        """Share of the owed requests that met their target, weighted by tokens."""
         return self.in_target_tokens / max(1, self.owed_tokens)
--- a/tests/restored_fleet.py
+++ b/tests/restored_fleet.py
@@ -297,14 +297,14 @@
         return transferred if alive and not self.peer_replies_lost else 0
 
     async def fetch_row(
-        self, address: str, me: EntryId
+        self, address: str, entry_id: EntryId
     ) -> Mapping[AccountId, AccountClaim]:
         """Model a row query between entries; its reply may be lost."""
         other = self.instances[int(address)]
         await asyncio.sleep(0.001)
         if not other.up or self.peer_replies_lost:
             return {}
-        return other.gateway.share_sync.budgets.restore_hold.known_row(me)
+        return other.gateway.share_sync.budgets.restore_hold.known_row(entry_id)
 
     async def close(self) -> None:
         """Do nothing: the model has no connections."""
