--- a/src/celerytrack/gateway/connections.py
+++ b/src/celerytrack/gateway/connections.py
@@ -11,8 +11,8 @@
 
 import aiohttp
 
+from celerytrack.http_session import make_http_session
 from celerytrack.ids import EndpointId
-from celerytrack.patient_http import patient_session
 from celerytrack.process_end import CONNECT_TIMEOUT_S
 
 ENDPOINT_IDLE_S = 4.0
@@ -30,7 +30,9 @@
 
     def __init__(self) -> None:
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
-        self.session = patient_session(ENDPOINT_IDLE_S, timeout, auto_decompress=False)
+        self.session = make_http_session(
+            ENDPOINT_IDLE_S, timeout, auto_decompress=False
+        )
         # aiohttp repeats a GET on its own when a reused connection breaks, so a call
         # that must run at most once could run twice without notice.
         self.session._retry_connection = False
--- a/src/celerytrack/gateway/peer_requests.py
+++ b/src/celerytrack/gateway/peer_requests.py
@@ -13,8 +13,8 @@
 from attrs import validators as v
 
 from celerytrack.events import Event, log_event
+from celerytrack.http_session import make_http_session
 from celerytrack.ids import AccountId, EntryId
-from celerytrack.patient_http import patient_session
 from celerytrack.platform.rows import RowError, decode_shares, encode_shares
 from celerytrack.prepaid import AccountClaim
 from celerytrack.strict import (
@@ -83,7 +83,7 @@
     def _session(self) -> aiohttp.ClientSession:
         if self._client_session is None:
             timeout = aiohttp.ClientTimeout(total=PEER_REQUEST_TIMEOUT_S)
-            self._client_session = patient_session(CONNECTION_IDLE_S, timeout)
+            self._client_session = make_http_session(CONNECTION_IDLE_S, timeout)
         return self._client_session
 
     async def request_transfer(
--- a/src/celerytrack/patient_http.py
+++ b/src/celerytrack/http_session.py
@@ -4,14 +4,14 @@
 
 import aiohttp
 
-SILENCE_MS = 1_500
+ACK_TIMEOUT_MS = 1_500
 """A connection whose bytes are not acknowledged for this long is given up.
 Without it a call on a connection that lost its path hangs to its timeout."""
-KEEPALIVE_S = 1
+KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
 
 
-def patient_session(
+def make_http_session(
     idle_s: float,
     timeout: aiohttp.ClientTimeout | None = None,
     auto_decompress: bool = True,
@@ -23,7 +23,7 @@
     :param auto_decompress: whether bodies are decoded on arrival.
     """
     connector = aiohttp.TCPConnector(
-        limit=0, keepalive_timeout=idle_s, socket_factory=_patient_socket
+        limit=0, keepalive_timeout=idle_s, socket_factory=_make_socket
     )
     return aiohttp.ClientSession(
         connector=connector,
@@ -32,7 +32,7 @@
     )
 
 
-def _patient_socket(info: aiohttp.AddrInfoType) -> socket.socket:
+def _make_socket(info: aiohttp.AddrInfoType) -> socket.socket:
     """A socket that notices a peer gone silent.
 
     A machine that lost power or a path answers nothing, not even a reset; a
@@ -42,9 +42,9 @@
     sock = socket.socket(family=family, type=kind, proto=proto)
     sock.setblocking(False)
     for option, value in (
-        (socket.TCP_USER_TIMEOUT, SILENCE_MS),
-        (socket.TCP_KEEPIDLE, KEEPALIVE_S),
-        (socket.TCP_KEEPINTVL, KEEPALIVE_S),
+        (socket.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/src/celerytrack/platform/store.py
+++ b/src/celerytrack/platform/store.py
@@ -17,7 +17,7 @@
 
 from celerytrack.eras import Era, EraStatus, EraTracker
 from celerytrack.events import Event, log_event
-from celerytrack.patient_http import patient_session
+from celerytrack.http_session import make_http_session
 from celerytrack.platform.log_format import (
     ERA_HEADER,
     Batch,
@@ -113,7 +113,7 @@
     @property
     def _session(self) -> aiohttp.ClientSession:
         if self._http is None:
-            self._http = patient_session(IDLE_S)
+            self._http = make_http_session(IDLE_S)
         return self._http
 
     async def close(self) -> None:
