--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -261,7 +261,7 @@
     if avoid:
         # A request that has failed once goes to a replica without recent failures if
         # one has room, or it could spend all its attempts on replicas that fail.
-        sound = [r for r in replicas if r.sound]
+        sound = [r for r in replicas if r.is_healthy]
         replica = state.choose(sound, ask, zone, now_s)
     replica = replica or state.choose(replicas, ask, zone, now_s)
     if replica is None:
--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -188,7 +188,7 @@
         if not out:
             continue
         if not sent.answered and relay.tokens > tokens_before:
-            sent.first_token(time.time())
+            sent.record_first_token(time.time())
         try:
             if answer.response is None:
                 answer.response = await _start_response(state, request, answer)
--- a/src/celerytrack/entry/fleet_view.py
+++ b/src/celerytrack/entry/fleet_view.py
@@ -122,7 +122,7 @@
             info.draining = heartbeat.draining
         wall_s = time.time()
         for replica_id, replica in self.replicas.items():
-            replica.heard(
+            replica.record_peer_load(
                 heartbeat.entry, heartbeat.loads.get(replica_id, Load()), wall_s
             )
 
@@ -169,7 +169,7 @@
         if report is None:
             # The replica is dead or unreachable although the list may still show it
             # as live. Mark it now, so that no request has to fail first.
-            load.failed(time.time())
+            load.record_failure(time.time())
             return
         load.capacity = int(report.get("capacity", load.capacity))
         load.cache.capacity_blocks = int(
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -154,7 +154,7 @@
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         now_s = time.time()
         first_token_s = predicted_s(replica, replica.load(now_s), ask, Placement())
-        sent = replica.send(ask, first_token_s, now_s)
+        sent = replica.begin_attempt(ask, first_token_s, now_s)
         suspected = standing is not SuspectState.CLEAR
         if suspected:
             state.suspects.suspect_sent(replica.replica_id)
@@ -169,16 +169,16 @@
             state.suspects.cancel_probe(admitted)
             raise
         finally:
-            sent.ended(time.time())
+            sent.finish(time.time())
             if suspected:
                 state.suspects.suspect_done(replica.replica_id)
         _record_outcome(state, admitted, replica.replica_id, result)
         match result:
             case Success(_):
-                replica.succeeded()
+                replica.record_success()
                 return result
             case Failure(refusal):
-                replica.failed(time.time())
+                replica.record_failure(time.time())
                 _log_attempt_failed(request_id, replica.replica_id, refusal)
                 history.record_failure(sent, refusal)
                 why = _reason_not_to_retry(state, work, refusal, history)
--- a/src/celerytrack/replica_load.py
+++ b/src/celerytrack/replica_load.py
@@ -15,7 +15,7 @@
 from celerytrack.ids import EntryId, ReplicaId, Zone
 from celerytrack.prompts import BLOCK_TOKENS
 
-PEER_FRESH_S = 1.0
+PEER_LOAD_TTL_S = 1.0
 """How long what a peer said of its own load counts."""
 _HISTORY = 4096
 _CACHE_BLOCKS = 4096
@@ -108,14 +108,14 @@
     predicted_s: float
     answered: bool = False
 
-    def first_token(self, now_s: float) -> None:
+    def record_first_token(self, now_s: float) -> None:
         """Its first token came: the prompt is read in."""
         self.answered = True
         self.replica._read_in(self.prefill_tokens)
         self.prefill_tokens = 0
         self.replica._learn((now_s - self.sent_at_s) / max(self.predicted_s, 1e-3))
 
-    def ended(self, now_s: float) -> None:
+    def finish(self, now_s: float) -> None:
         """It ended, well or not."""
         self.replica._read_in(self.prefill_tokens)
         self.prefill_tokens = 0
@@ -168,7 +168,7 @@
         running, prefill_tokens = self.own
         heard = False
         for at_s, peer in self.peers.values():
-            if now_s - at_s <= PEER_FRESH_S:
+            if now_s - at_s <= PEER_LOAD_TTL_S:
                 heard = True
                 running += peer.running
                 prefill_tokens += peer.prefill_tokens
@@ -192,11 +192,11 @@
         while len(self._own_history) > 1 and self._own_history[1][0] <= at_s:
             self._own_history.popleft()
 
-    def heard(self, peer: EntryId, load: Load, now_s: float) -> None:
+    def record_peer_load(self, peer: EntryId, load: Load, now_s: float) -> None:
         """Take a peer's word on what it has here."""
         self.peers[peer] = (now_s, load)
 
-    def send(self, ask: Ask, predicted_s: float, now_s: float) -> Attempt:
+    def begin_attempt(self, ask: Ask, predicted_s: float, now_s: float) -> Attempt:
         """Count a request this entry sends at ``now_s``."""
         tokens = self.uncached_tokens(ask)
         self._set_own(1, tokens, now_s)
@@ -204,23 +204,23 @@
         return Attempt(self, now_s, tokens, predicted_s)
 
     @property
-    def sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether its last attempt went well."""
         return self._failures == 0
 
-    def trusted(self, now_s: float) -> bool:
+    def can_take_request(self, now_s: float) -> bool:
         """Whether it may take work at ``now_s``: after failures, one request
         at a time once the ejection is over, so a trial costs one retry."""
-        if self.sound:
+        if self.is_healthy:
             return True
         return now_s >= self.ejected_until_s and self.own.running == 0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """An attempt here went well: it is trusted again."""
         self._failures = 0
         self.ejected_until_s = 0.0
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """An attempt here failed: no new work for a while, longer each time.
 
         A replica that fails at once looks idle, so without this it would
--- a/src/celerytrack/routing.py
+++ b/src/celerytrack/routing.py
@@ -104,7 +104,7 @@
         load = replica.load(now_s)
         if load.running < replica.capacity * threshold:
             open_.append((replica, load))
-    return [item for item in open_ if item[0].trusted(now_s)] or open_
+    return [item for item in open_ if item[0].can_take_request(now_s)] or open_
 
 
 def make_round_robin() -> Chooser:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -62,7 +62,7 @@
     def test_lagging_report_is_corrected_by_own_sends(self):
         a, b = _replica("a"), _replica("b")
         for _ in range(3):
-            a.send(Ask("m", 0), 0.1, 2.0)
+            a.begin_attempt(Ask("m", 0), 0.1, 2.0)
         self.assertEqual(_choose([a, b], now_s=2.0), "b")
 
     @params(
@@ -86,9 +86,9 @@
         attempts = {}
         for at_s, i, kind in sorted(events, key=lambda e: e[0]):
             if kind == "end":
-                attempts[i].ended(at_s)
+                attempts[i].finish(at_s)
             else:
-                attempts[i] = a.send(Ask("m", 0), 0.1, at_s)
+                attempts[i] = a.begin_attempt(Ask("m", 0), 0.1, at_s)
         a.report(Load(reported), 3.0)
         self.assertEqual(a.load(5.0).running, expected)
 
@@ -100,8 +100,8 @@
     )
     def test_peers_tell_what_reports_cannot(self, peer_load, ago_s, expected):
         a = _replica("a", running=7, prefill_tokens=300)
-        a.send(Ask("m", 0), 0.1, 10.0)
-        a.heard(EntryId("e2"), peer_load, 10.0 - ago_s)
+        a.begin_attempt(Ask("m", 0), 0.1, 10.0)
+        a.record_peer_load(EntryId("e2"), peer_load, 10.0 - ago_s)
         self.assertEqual(a.load(10.0), expected)
 
     @params((0, "b"), (30_000, "a"))
@@ -113,20 +113,20 @@
 
     def test_a_prompt_counts_until_its_first_token(self):
         a = _replica("a")
-        attempt = a.send(Ask("m", 0, PROMPT), 0.1, 1.0)
+        attempt = a.begin_attempt(Ask("m", 0, PROMPT), 0.1, 1.0)
         self.assertGreater(a.own.prefill_tokens, 0)
-        attempt.first_token(1.2)
+        attempt.record_first_token(1.2)
         self.assertEqual(a.own, Load(1, 0))
-        attempt.ended(1.5)
+        attempt.finish(1.5)
         self.assertEqual(a.own, Load(0, 0))
 
     def test_slowness_is_learned_and_unlearned(self):
         a = _replica("a")
         for took_s, low, high in ((0.5, 4.0, 6.0), (0.1, 0.9, 1.1)):
             for _ in range(60):
-                attempt = a.send(Ask("m", 0), 0.1, 1.0)
-                attempt.first_token(1.0 + took_s)
-                attempt.ended(2.0)
+                attempt = a.begin_attempt(Ask("m", 0), 0.1, 1.0)
+                attempt.record_first_token(1.0 + took_s)
+                attempt.finish(2.0)
             self.assertTrue(low < a.slowness < high, a.slowness)
 
     def test_a_failing_replica_is_ejected_longer_each_time(self):
@@ -135,13 +135,13 @@
         chosen again and again. Cause: load alone decides the choice."""
         a, b = _replica("a"), _replica("b", running=5)
         for now_s, failed_for_s in ((10.0, 0.5), (20.0, 2.0), (30.0, 8.0)):
-            a.failed(now_s)
+            a.record_failure(now_s)
             self.assertEqual(_choose([a, b], now_s=now_s + failed_for_s - 0.01), "b")
             self.assertEqual(_choose([a, b], now_s=now_s + failed_for_s), "a")
         self.assertEqual(_choose([a], now_s=30.1), "a")  # better than nothing
-        a.send(Ask("m", 0), 0.1, 40.0)  # on trial with one request
+        a.begin_attempt(Ask("m", 0), 0.1, 40.0)  # on trial with one request
         self.assertEqual(_choose([a, b], now_s=40.0), "b")
-        a.succeeded()
+        a.record_success()
         self.assertEqual(_choose([a, b], now_s=30.1), "a")
 
     @params(
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -64,7 +64,7 @@
         tried.append(sent.replica.replica_id)
         outcome = outcomes[len(tried) - 1]
         if outcome == "t":
-            sent.first_token(0.0)
+            sent.record_first_token(0.0)
         return Success(1) if outcome == "." else MAY_HAVE_RUN
 
     work = types.SimpleNamespace(idempotent=True, model="m", priority=priority)
@@ -153,7 +153,7 @@
         b.own = Load(state_of_b.get("running", 0))
         b.leaving = state_of_b.get("leaving", False)
         for replica in others:
-            replica.failed(0.0)
+            replica.record_failure(0.0)
         result, tried = _run(state, "t.")
         self.assertEqual((result, tried), (Success(1), [a.replica_id, "c"]))
 
