--- a/src/celerytrack/__init__.py
+++ b/src/celerytrack/__init__.py
@@ -19,7 +19,12 @@
 from celerytrack.ledger import AccountLedger, Bill, BillOutcome, Ledger, OpenGrant
 from celerytrack.replica_load import Ask, Attempt, Load, PrefixIndex, ReplicaLoad
 from celerytrack.retries import RetryBudget, backoff_s, may_retry
-from celerytrack.routing import Placement, make_chooser, predicted_s, rendezvous
+from celerytrack.routing import (
+    Placement,
+    make_chooser,
+    predict_first_token_s,
+    rendezvous,
+)
 from celerytrack.settings import Config, FleetSettings, SettingsError, load_json
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
 
@@ -60,6 +65,6 @@
     "make_chooser",
     "may_have_run",
     "may_retry",
-    "predicted_s",
+    "predict_first_token_s",
     "rendezvous",
 ]
--- a/src/celerytrack/entry/chat.py
+++ b/src/celerytrack/entry/chat.py
@@ -144,7 +144,7 @@
         await _relay_events(state, request, sent, upstream, answer)
         return Success(None)
     except _StreamCutError:
-        answer.relay.resumed()
+        answer.relay.resume()
         return Failure(may_have_run(Reason.UPSTREAM_CUT, 1.0, "engine stream cut"))
     finally:
         # An engine stops generating when its connection closes. The rest of this
@@ -230,7 +230,7 @@
 async def _finish(state: EntryState, answer: _Answer) -> web.StreamResponse:
     admitted, relay = answer.admitted, answer.relay
     if admitted.key is not None:
-        stored = StoredAnswer(admitted.request_id, stream=bytes(relay.passed))
+        stored = StoredAnswer(admitted.request_id, stream=bytes(relay.relayed))
         state.answers.put(admitted.cache_key, stored)
     assert answer.response is not None
     await answer.response.write(DONE_EVENT)
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -24,7 +24,7 @@
 from celerytrack.ids import ReplicaId, RequestId
 from celerytrack.replica_load import Ask, Attempt, ReplicaLoad
 from celerytrack.retries import backoff_s, may_retry
-from celerytrack.routing import Placement, predicted_s
+from celerytrack.routing import Placement, predict_first_token_s
 from celerytrack.settings import WorkClass
 from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
@@ -133,7 +133,7 @@
 
     :returns: the first success, or the refusal that the caller gets.
     """
-    state.retries.request()
+    state.retries.record_request()
     history = _AttemptHistory()
     work, request_id = admitted.work, admitted.request_id
     while True:
@@ -153,7 +153,9 @@
         ):
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         now_s = time.time()
-        first_token_s = predicted_s(replica, replica.load(now_s), ask, Placement())
+        first_token_s = predict_first_token_s(
+            replica, replica.load(now_s), ask, Placement()
+        )
         sent = replica.begin_attempt(ask, first_token_s, now_s)
         suspected = standing is not SuspectState.CLEAR
         if suspected:
@@ -247,7 +249,7 @@
         return NoRetryReason.NOT_IDEMPOTENT
     # A started answer can only be aborted, not refused, and a caller that retries an
     # aborted answer makes the engines generate all of it again.
-    if not history.streaming and not state.retries.take():
+    if not history.streaming and not state.retries.try_acquire():
         return NoRetryReason.RETRY_BUDGET
     return None
 
--- a/src/celerytrack/gateway/pipeline.py
+++ b/src/celerytrack/gateway/pipeline.py
@@ -161,7 +161,7 @@
         # comes after the request was sent.
         raise TimeoutError
     budget = gateway.retry_budget(exchange.service, now_s)
-    budget.request()
+    budget.record_request()
     while True:
         result = await _make_attempt(gateway, exchange)
         match result:
@@ -172,14 +172,14 @@
                 return exchange.response
             case Success(BufferedAnswer() as answer):
                 retry = answer.status >= 500 and exchange.route.is_retry_safe
-                if not (retry and _within_limits(exchange) and budget.take()):
+                if not (retry and _within_limits(exchange) and budget.try_acquire()):
                     record_answer(gateway, exchange, answer.status)
                     return make_response(gateway, answer)
             case Failure(failure):
                 retry = _is_retryable(exchange, failure) and _within_limits(exchange)
                 # A request that was never sent added no load, so the next attempt
                 # takes nothing from the retry budget.
-                if not (retry and (not failure.sent or budget.take())):
+                if not (retry and (not failure.sent or budget.try_acquire())):
                     return _give_up(gateway, exchange, failure)
 
 
--- a/src/celerytrack/retries.py
+++ b/src/celerytrack/retries.py
@@ -35,11 +35,11 @@
     def __attrs_post_init__(self) -> None:
         self._level = self.burst
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Count a request that came in."""
         self._level = min(self._level + self.ratio, self.burst)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one retry; ``False`` means give up now."""
         if self._level < 1:
             return False
--- a/src/celerytrack/routing.py
+++ b/src/celerytrack/routing.py
@@ -55,7 +55,7 @@
     other_zone_s: float = attrs.field(default=0.001, validator=attrs.validators.ge(0))
 
 
-def predicted_s(
+def predict_first_token_s(
     replica: ReplicaLoad, load: Load, ask: Ask, placement: Placement
 ) -> float:
     """Seconds until ``replica``, under ``load``, gives the first token."""
@@ -79,15 +79,15 @@
         def cost(item: tuple[ReplicaLoad, Load]) -> tuple[float, str]:
             r, load = item
             away = 0.0 if r.zone == zone else placement.other_zone_s
-            return predicted_s(r, load, ask, placement) + away, r.replica_id
+            return predict_first_token_s(r, load, ask, placement) + away, r.replica_id
 
-        open_ = with_room(replicas, ask, now_s)
+        open_ = replicas_with_capacity(replicas, ask, now_s)
         return min(open_, key=cost)[0] if open_ else None
 
     return choose
 
 
-def with_room(
+def replicas_with_capacity(
     replicas: Sequence[ReplicaLoad], ask: Ask, now_s: float
 ) -> list[tuple[ReplicaLoad, Load]]:
     """The replicas that may take ``ask``, each with its load: the lower the
@@ -114,7 +114,7 @@
     def choose(
         replicas: Sequence[ReplicaLoad], ask: Ask, zone: Zone, now_s: float
     ) -> ReplicaLoad | None:
-        open_ = [r for r, _ in with_room(replicas, ask, now_s)]
+        open_ = [r for r, _ in replicas_with_capacity(replicas, ask, now_s)]
         open_.sort(key=lambda r: r.replica_id)
         return open_[next(turn) % len(open_)] if open_ else None
 
@@ -125,7 +125,7 @@
     replicas: Sequence[ReplicaLoad], ask: Ask, zone: Zone, now_s: float
 ) -> ReplicaLoad | None:
     """A baseline: the replica with the fewest estimated sequences."""
-    open_ = with_room(replicas, ask, now_s)
+    open_ = replicas_with_capacity(replicas, ask, now_s)
     if not open_:
         return None
     return min(open_, key=lambda item: (item[1].running, item[0].replica_id))[0]
--- a/src/celerytrack/sse.py
+++ b/src/celerytrack/sse.py
@@ -37,13 +37,13 @@
     :ivar tokens: output tokens received, as the engine counts them
         (``usage.completion_tokens``, cumulative), else one an event.
     :ivar complete: the engine ended the stream with ``[DONE]``.
-    :ivar passed: everything passed on so far.
+    :ivar relayed: everything passed on so far.
     """
 
     request_id: RequestId
     tokens: int = 0
     complete: bool = False
-    passed: bytearray = attrs.field(factory=bytearray)
+    relayed: bytearray = attrs.field(factory=bytearray)
     _partial: bytes = b""
     _head: bytes = attrs.field(init=False)
 
@@ -65,10 +65,10 @@
         out = block if self._all_ours(block) else self._ours(block)
         if out:
             self._count(out)
-            self.passed += out
+            self.relayed += out
         return out
 
-    def resumed(self) -> None:
+    def resume(self) -> None:
         """The stream goes on over a new connection: an event the old one
         cut in the middle will come again."""
         self._partial = b""
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -189,8 +189,8 @@
         budget = RetryBudget()
         retries = 0
         for _ in range(1000):
-            budget.request()
-            retries += sum(budget.take() for _ in range(2))
+            budget.record_request()
+            retries += sum(budget.try_acquire() for _ in range(2))
         self.assertLessEqual(retries, 210)
 
     def test_backoff_is_bounded(self):
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -55,7 +55,7 @@
         relay = AnswerRelay(RequestId("r1"))
         first, second = _event("r1", "a", 1), _event("r1", "b", 2)
         out = relay.feed(first + second[:10])
-        relay.resumed()
+        relay.resume()
         out += relay.feed(second + DONE_EVENT)
         self.assertEqual(out, first + second)
 
@@ -63,6 +63,6 @@
         """An engine that counts from anew sends the answer back to its start."""
         relay = AnswerRelay(RequestId("r1"))
         relay.feed(_event("r1", "abc", 7))
-        relay.resumed()
+        relay.resume()
         relay.feed(_event("r1", "d", 1))
         self.assertEqual(relay.tokens, 7)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -105,7 +105,7 @@
         self.assertEqual((len(set(tried)), len(tried)), (attempts, attempts))
         self.assertEqual(sleep.await_count, backoffs)
         retries_left = 0
-        while state.retries.take():
+        while state.retries.try_acquire():
             retries_left += 1
         self.assertEqual(retries_left, 10 - backoffs)
         match result:
@@ -135,7 +135,7 @@
         state = _state()
         for _ in range(30):
             self.assertEqual(_run(state, "t.")[0], Success(1))
-        self.assertTrue(state.retries.take())
+        self.assertTrue(state.retries.try_acquire())
 
     def test_an_answer_not_started_needs_retry_budget(self):
         """Guards against unlimited retries of new requests during an outage."""
