--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -16,7 +16,7 @@
 from celerytrack.ids import EntryId
 from celerytrack.platform.store import StoreClient, StoreError, Writer
 from celerytrack.platform.suspect_records import (
-    MOST_ITEMS,
+    MAX_ITEMS,
     FindingsError,
     decode_findings,
     encode_findings,
@@ -75,7 +75,7 @@
             raise SuspectsError(f"{len(found)} requests begin with {prefix!r}")
         told = self.book.lift(found[0], now_s)
         forgiven = (*told.cleared, *self.own.cleared)
-        return Findings(OPERATOR, cleared=forgiven[:MOST_ITEMS])
+        return Findings(OPERATOR, cleared=forgiven[:MAX_ITEMS])
 
 
 async def read_suspects(store: StoreClient) -> OperatorView:
--- a/src/celerytrack/logclient.py
+++ b/src/celerytrack/logclient.py
@@ -12,7 +12,7 @@
 import attrs
 from returns.result import Failure, Result, Success
 
-SILENCE_S = 2.0
+READ_IDLE_TIMEOUT_S = 2.0
 """Longest wait for the next bytes of a read, beyond what the log may hold it: a change
 is in force within five seconds, also if the read held before it is never answered."""
 
@@ -113,7 +113,7 @@
         """Records from offset ``start``; waits up to ``wait_s`` for new ones."""
         params = {"from": str(start), "limit": str(limit), "wait_s": str(wait_s)}
         timeout = aiohttp.ClientTimeout(
-            total=self._timeout_s + wait_s, sock_read=SILENCE_S + wait_s
+            total=self._timeout_s + wait_s, sock_read=READ_IDLE_TIMEOUT_S + wait_s
         )
         try:
             async with self._http().get(
--- a/src/celerytrack/platform/store.py
+++ b/src/celerytrack/platform/store.py
@@ -36,11 +36,11 @@
 """Longest wait for the next bytes of an answer: more than a slow store takes. A call
 made while the store is away holds up the next one, so a longer wait delays the first
 row after an outage, and a loss of power before it costs all that the outage freed."""
-ANSWER_MOST_S = 6.0
+MAX_ANSWER_S = 6.0
 """Longest time that an answer may go on arriving. A large configuration takes seconds
 on a narrow link that others use too: given up sooner it would be asked for again for
 ever, and the entry would never start. A half-dead connection ends by it."""
-READ_MOST_KB = 128
+MAX_READ_KB = 128
 """Most of a topic that one read asks for; a larger record comes alone. The reads of
 other topics wait for it on a narrow link, and left to the store it would be mostly rows
 that others have superseded."""
@@ -167,7 +167,7 @@
             "topic": topic,
             "part": "0",
             "from": str(offset),
-            "maxKb": str(READ_MOST_KB),
+            "maxKb": str(MAX_READ_KB),
         }
         if wait_s:
             params["waitMs"] = str(int(wait_s * 1_000))
@@ -221,7 +221,7 @@
         arriving: asyncio.Event | None = None,
     ) -> Result[bytes, StoreError]:
         timeout = aiohttp.ClientTimeout(
-            total=ANSWER_MOST_S + extra_s,
+            total=MAX_ANSWER_S + extra_s,
             sock_connect=CALL_TIMEOUT_S,
             sock_read=CALL_TIMEOUT_S + extra_s,
         )
--- a/src/celerytrack/platform/suspect_records.py
+++ b/src/celerytrack/platform/suspect_records.py
@@ -11,12 +11,12 @@
 from celerytrack.ids import EndpointId, EntryId
 
 KIND = "suspects"
-MOST_TEXT = 200
+MAX_TEXT_CHARS = 200
 """Characters of an id or a build: more would fill an entry's memory."""
-MOST_LASTS_S = 3_600.0
+MAX_REMAINING_S = 3_600.0
 """Longest trial that may be told: longer than any request lasts, and a wrong one still
 ends."""
-MOST_ITEMS = 1_000
+MAX_ITEMS = 1_000
 """Endings or trials of one entry: several times what an entry tells."""
 
 
@@ -85,8 +85,8 @@
 def _trial(item: Any) -> Probe:
     match item:
         case [bytes(fingerprint), str(endpoint_id), int() | float() as lasts_s]:
-            if not (math.isfinite(lasts_s) and 0 <= lasts_s <= MOST_LASTS_S):
-                raise FindingsError(f"a trial lasts 0 to {MOST_LASTS_S:.0f} s")
+            if not (math.isfinite(lasts_s) and 0 <= lasts_s <= MAX_REMAINING_S):
+                raise FindingsError(f"a trial lasts 0 to {MAX_REMAINING_S:.0f} s")
             endpoint = EndpointId(_short(endpoint_id))
             return Probe(_fingerprint(fingerprint), endpoint, float(lasts_s))
     raise FindingsError(f"no trial: {str(item)[:100]}")
@@ -107,14 +107,14 @@
 
 
 def _short(text: str) -> str:
-    if len(text) > MOST_TEXT:
-        raise FindingsError(f"a text has at most {MOST_TEXT} characters")
+    if len(text) > MAX_TEXT_CHARS:
+        raise FindingsError(f"a text has at most {MAX_TEXT_CHARS} characters")
     return text
 
 
 def _few(items: list[Any]) -> list[list[Any]]:
-    if len(items) > MOST_ITEMS:
-        raise FindingsError(f"at most {MOST_ITEMS} items, found {len(items)}")
+    if len(items) > MAX_ITEMS:
+        raise FindingsError(f"at most {MAX_ITEMS} items, found {len(items)}")
     if not all(isinstance(item, list) and item for item in items):
         raise FindingsError("each item must be a list")
     return items
--- a/src/celerytrack/settings.py
+++ b/src/celerytrack/settings.py
@@ -26,9 +26,9 @@
 from celerytrack.ids import AccountId, ClassName, EntryId, ReplicaId, Zone
 from celerytrack.strict import strict_converter
 
-KEY_LEAST = 8
+MIN_KEY_CHARS = 8
 """Characters of a key at least: shorter ones are found by trying."""
-STOP_END_S = 4.0
+POST_DRAIN_S = 4.0
 """What a planned stop needs behind the requests in progress, for the last bills and for
 closing."""
 _NAME = re.compile(r"^[a-z0-9][a-z0-9._-]{0,62}$")
@@ -46,17 +46,19 @@
 
 
 def _key(instance: object, attribute: "attrs.Attribute[Any]", value: str) -> None:
-    if len(value) < KEY_LEAST:
-        raise ValueError(f"key must have {KEY_LEAST} characters or more: {len(value)}")
+    if len(value) < MIN_KEY_CHARS:
+        raise ValueError(
+            f"key must have {MIN_KEY_CHARS} characters or more: {len(value)}"
+        )
 
 
 def _leaves_stop_end(
     instance: "EntryTuning", attribute: "attrs.Attribute[Any]", value: float
 ) -> None:
-    least_s = instance.drain_grace_s + STOP_END_S
+    least_s = instance.drain_grace_s + POST_DRAIN_S
     if value < least_s:
         raise ValueError(
-            f"{attribute.name} must be drain_grace_s and {STOP_END_S} more, "
+            f"{attribute.name} must be drain_grace_s and {POST_DRAIN_S} more, "
             f"{least_s} at least: {value}"
         )
 
--- a/tests/keyed_log.py
+++ b/tests/keyed_log.py
@@ -73,8 +73,8 @@
 
     :ivar down: every call is refused.
     :ivar refused: topics of which every call is refused.
-    :ivar silent: no call is answered.
-    :ivar deaf: reads that are held when it is set are never answered.
+    :ivar unresponsive: no call is answered.
+    :ivar hang_held_reads: reads that are held when it is set are never answered.
     :ivar lose_answers: appends take effect and are not answered.
     :ivar link: over which answers to reads arrive.
     :ivar era: rises by one each time the log comes back from an older copy.
@@ -87,8 +87,8 @@
         self.era_text: Callable[[int], str | None] = str
         self.down = False
         self.refused: set[str] = set()
-        self.deaf = False
-        self.silent = False
+        self.hang_held_reads = False
+        self.unresponsive = False
         self.lose_answers = False
         self.link = Link()
         self.appends = 0
@@ -113,7 +113,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def forget_history(self, name: str) -> None:
+    def compact(self, name: str) -> None:
         """Drop all records; the newest of each key is kept."""
         self.topic(name).first = len(self.topic(name).records)
 
@@ -142,16 +142,16 @@
         self.restore(older)
         self.down = False
         await asyncio.sleep(written_again_s)
-        self.write_again()
+        self.republish()
 
-    def write_again(self) -> None:
+    def republish(self) -> None:
         """What the platform wrote is written again where the log has it no more."""
         for (name, key), value in self._platform_wrote.items():
             newest = dict(self.topic(name).records)
             if newest.get(key, b"") != value:
                 self._put(name, key, value)
 
-    async def _say_era(self, _: web.Request, answer: web.StreamResponse) -> None:
+    async def _add_era(self, _: web.Request, answer: web.StreamResponse) -> None:
         text = self.era_text(self.era)
         if text is not None:
             answer.headers[ERA_HEADER] = text
@@ -159,14 +159,14 @@
     def make_app(self) -> web.Application:
         """The HTTP application."""
         app = web.Application()
-        app.on_response_prepare.append(self._say_era)
+        app.on_response_prepare.append(self._add_era)
         app.router.add_post("/log-append", self._append)
         app.router.add_get("/log-read", self._read)
         app.router.add_get("/log-newest", self._newest)
         return app
 
     async def _answering(self) -> None:
-        while self.silent:
+        while self.unresponsive:
             await asyncio.sleep(0.05)
 
     def _refuses(self, request: web.Request) -> bool:
@@ -209,7 +209,7 @@
         wait_s = int(request.query.get("waitMs", 0)) / 1_000
         if start == len(self.topic(name).records) and wait_s:
             await self._wait(name, start, wait_s)
-            if self.deaf:
+            if self.hang_held_reads:
                 await asyncio.sleep(60)
             if self._refuses(request):
                 return web.Response(status=503)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -219,7 +219,7 @@
     async def test_a_cancelled_claim_is_released(self) -> None:
         """The caller left while the claim was published. The claim then lasted until
         its deadline, and no entry could probe the request."""
-        self.fleet.log.silent = True
+        self.fleet.log.unresponsive = True
         trial = Probe(self.known, EndpointId("i-9"), 60.0)
         claim = asyncio.create_task(self.keeper.begin_probe(trial, []))
         await asyncio.sleep(0.1)
@@ -228,7 +228,7 @@
         with self.assertRaises(asyncio.CancelledError):
             await claim
         self.assertFalse(self.keeper.tracker.is_probing(self.known))
-        self.fleet.log.silent = False
+        self.fleet.log.unresponsive = False
 
     @params(("e0@127.0.0.1", True), ("another", False))
     def test_without_the_log_only_the_first_in_hash_order_may_probe(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -435,11 +435,11 @@
         change comes. Cause: the read was waited for until 12 s were over.
         """
         async with _fleet(_good) as fleet:
-            fleet.log.deaf = True
+            fleet.log.hang_held_reads = True
             await asyncio.sleep(0.1)
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(5))
             await asyncio.sleep(0.1)
-            fleet.log.deaf = False
+            fleet.log.hang_held_reads = False
             await fleet.wait_until(
                 lambda: fleet.gateways[0].routing_table.version == 5, 3.5
             )
@@ -451,7 +451,7 @@
                 fleet.log.put(topic, "other", b"x")
             fleet.log.put(CONFIG_TOPIC, CONFIG_KEY, config(9))
             for topic in list(fleet.log.topics):
-                fleet.log.forget_history(topic)
+                fleet.log.compact(topic)
             fleet.log.down = False
             await fleet.wait_until(
                 lambda: fleet.gateways[0].routing_table.version == 9, 4.0
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -284,7 +284,7 @@
 
     async def _silent_store(self) -> None:
         async with Site(_slow_answer) as site:
-            site.log.silent = True
+            site.log.unresponsive = True
             asking = asyncio.create_task(site.ask("/plain/x"))
             await site.until_asked()
             await self._stops(site)
--- a/tests/test_planned_stop_review.py
+++ b/tests/test_planned_stop_review.py
@@ -204,7 +204,7 @@
                 f"POST /once/x HTTP/1.1\r\n{head}Content-Length: 9\r\n\r\n".encode()
             )
             await asyncio.sleep(0.5)
-            site.log.silent = True
+            site.log.unresponsive = True
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
             await _ends(site, began_s)
@@ -235,7 +235,7 @@
     async def _while_starting(self) -> None:
         async with Site(_long_stream) as site:
             await site.gateway.kill()
-            site.log.silent = True
+            site.log.unresponsive = True
             await site.gateway.spawn()
             await site.gateway.until(
                 lambda: len(site.gateway.log_records("process_started")) == 2, 10.0
