--- a/src/celerytrack/__init__.py
+++ b/src/celerytrack/__init__.py
@@ -1,7 +1,7 @@
 """celerytrack: a router fleet for model engines and plain services with
 prepaid token budgets.
 
-The I/O-free core is re-exported here; the processes live in
+The core, which does no I/O, is re-exported here; the processes are in
 :mod:`celerytrack.entry`, :mod:`celerytrack.standins` and :mod:`celerytrack.cli`.
 """
 
--- a/src/celerytrack/events.py
+++ b/src/celerytrack/events.py
@@ -1,8 +1,8 @@
 """Numbered log events and the JSON log setup.
 
-Every log line names one event of :class:`Event` by number; the catalogue
-with each event's meaning is ``docs/EVENTS.md``. Lines are JSON objects
-written by python-json-logger through the standard ``logging`` module.
+Every log line carries the number of an :class:`Event`; ``docs/EVENTS.md``
+explains each of them. Lines are JSON objects that python-json-logger writes
+through the standard ``logging`` module.
 """
 
 import enum
@@ -14,7 +14,7 @@
 
 
 class Event(enum.IntEnum):
-    """The events a process logs; the value is the event number."""
+    """The events that processes log; the value is the event number."""
 
     PROCESS_STARTED = 100
     PROCESS_STOPPING = 101
@@ -91,12 +91,12 @@
 def log_event(
     logger: logging.Logger, event: Event, level: int = logging.INFO, **fields: Any
 ) -> None:
-    """Write one event with its number, name and fields."""
+    """Log one event with its number, name and fields."""
     logger.log(level, event.name.lower(), extra={"event": int(event), **fields})
 
 
 def setup_logging(process: str, level: str = "INFO") -> None:
-    """Send JSON log lines to standard error, tagged with ``process``."""
+    """Write JSON log lines, tagged with ``process``, to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter(
--- a/src/celerytrack/explain.py
+++ b/src/celerytrack/explain.py
@@ -1,4 +1,4 @@
-"""From log lines to what happened to one request, or in a whole run."""
+"""Timeline of one request and summary of a run, from log lines."""
 
 import collections
 import json
@@ -9,8 +9,8 @@
 
 from celerytrack.events import Event
 
-_PLAIN = frozenset({"asctime", "levelname", "message", "process", "event"})
-_BELIEF_CHANGES = frozenset(
+_STANDARD_FIELDS = frozenset({"asctime", "levelname", "message", "process", "event"})
+_VIEW_CHANGES = frozenset(
     {
         Event.STORE_LOST,
         Event.STORE_REGAINED,
@@ -22,14 +22,14 @@
         Event.SHARES_TAKEN_OVER,
     }
 )
-"""Events that change what a process believes, and so explain its decisions."""
+"""Events that change a process's view of the system, which explains its decisions."""
 
 
 @attrs.frozen
 class LogLine:
-    """One structured line.
+    """One structured log line.
 
-    :ivar at: the time of day it was written, as text that sorts.
+    :ivar at: the wall-clock time of the line, as text that sorts.
     """
 
     at: str
@@ -39,13 +39,13 @@
     fields: dict[str, Any]
 
     def render(self) -> str:
-        """The line for people."""
+        """Format the line for people."""
         fields = " ".join(f"{k}={v}" for k, v in self.fields.items())
         return f"{self.at}  {self.process:20} {self.event} {self.name}  {fields}"
 
 
 def parse(lines: Iterable[str]) -> Iterator[LogLine]:
-    """The structured lines among ``lines``; others, and prefixes, are skipped."""
+    """Parse the structured lines; others, and text before the JSON, are skipped."""
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -57,33 +57,35 @@
                 data["process"],
                 int(data["event"]),
                 data["message"],
-                {k: v for k, v in data.items() if k not in _PLAIN},
+                {k: v for k, v in data.items() if k not in _STANDARD_FIELDS},
             )
         except (ValueError, KeyError, TypeError):
             continue
 
 
 def timeline(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
-    """The lines of one request over all processes, with the newest change of
-    what each process concerned believed before them."""
+    """The lines of one request in all processes, preceded by the latest changes of the
+    view of each process involved."""
     lines = sorted(lines, key=lambda entry: entry.at)
-    mine = [entry for entry in lines if entry.fields.get("request_id") == request_id]
+    own_lines = [
+        entry for entry in lines if entry.fields.get("request_id") == request_id
+    ]
     out: list[LogLine] = []
-    for process in dict.fromkeys(entry.process for entry in mine):
-        first = next(entry.at for entry in mine if entry.process == process)
+    for process in dict.fromkeys(entry.process for entry in own_lines):
+        first = next(entry.at for entry in own_lines if entry.process == process)
         before: dict[tuple[int, str], LogLine] = {}
         for entry in lines:
             if entry.process != process or entry.at > first:
                 continue
-            if entry.event in _BELIEF_CHANGES:
-                about = str(entry.fields.get("topic") or entry.fields.get("endpoint"))
-                before[entry.event, about] = entry
+            if entry.event in _VIEW_CHANGES:
+                subject = str(entry.fields.get("topic") or entry.fields.get("endpoint"))
+                before[entry.event, subject] = entry
         out += sorted(before.values(), key=lambda entry: entry.at)[-6:]
-    return sorted([*out, *mine], key=lambda entry: entry.at)
+    return sorted([*out, *own_lines], key=lambda entry: entry.at)
 
 
 def summary(lines: Iterable[LogLine]) -> list[str]:
-    """Counts of outcomes, refusals by reason, and times without the store."""
+    """Counts of outcomes, of refusals by reason and of losses of the store."""
     outcomes: collections.Counter[str] = collections.Counter()
     for entry in lines:
         match entry.event:
--- a/src/celerytrack/http_session.py
+++ b/src/celerytrack/http_session.py
@@ -1,12 +1,12 @@
-"""HTTP sessions that notice a peer gone silent."""
+"""HTTP sessions that detect an unreachable peer."""
 
 import socket
 
 import aiohttp
 
 ACK_TIMEOUT_MS = 1_500
-"""A connection whose bytes are not acknowledged for this long is given up.
-Without it a call on a connection that lost its path hangs to its timeout."""
+"""A connection whose bytes are not acknowledged for this long is closed. Without this
+limit, a call on a connection whose network path is lost hangs until its timeout."""
 KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
 
@@ -16,11 +16,11 @@
     timeout: aiohttp.ClientTimeout | None = None,
     auto_decompress: bool = True,
 ) -> aiohttp.ClientSession:
-    """A session without a limit of connections.
+    """Make a session without a limit on connections.
 
-    :param idle_s: idle time after which a connection is not used again.
-    :param timeout: of each request; ``None`` leaves it to the calls.
-    :param auto_decompress: whether bodies are decoded on arrival.
+    :param idle_s: idle time after which a connection is not reused.
+    :param timeout: default timeout of a request; ``None`` leaves it to each call.
+    :param auto_decompress: whether response bodies are decompressed.
     """
     connector = aiohttp.TCPConnector(
         limit=0, keepalive_timeout=idle_s, socket_factory=_make_socket
@@ -33,10 +33,10 @@
 
 
 def _make_socket(info: aiohttp.AddrInfoType) -> socket.socket:
-    """A socket that notices a peer gone silent.
+    """Make a socket that detects an unreachable peer.
 
-    A machine that lost power or a path answers nothing, not even a reset; a
-    connection to it would hang until the request's own deadline.
+    A machine that lost power or its network path does not even send a reset, so
+    a connection to it would hang until the request's own deadline.
     """
     family, kind, proto, _, _ = info
     sock = socket.socket(family=family, type=kind, proto=proto)
--- a/src/celerytrack/ids.py
+++ b/src/celerytrack/ids.py
@@ -1,4 +1,4 @@
-"""Typed identifiers, so an account id is never passed where a replica id goes."""
+"""Distinct types for identifiers, so that type checks catch one passed as another."""
 
 from typing import NewType
 
@@ -9,7 +9,7 @@
 GrantId = NewType("GrantId", str)
 ClassName = NewType("ClassName", str)
 Zone = NewType("Zone", str)
-"""A failure domain, named as the brief names it (``nasr-hall``, ``salt-lake``)."""
+"""The name of a failure domain (``nasr-hall``, ``salt-lake``)."""
 ServiceName = NewType("ServiceName", str)
 EndpointId = NewType("EndpointId", str)
-"""One start of one back-end process; a restart has a new id."""
+"""One incarnation of an endpoint's process; a restart has a new id."""
--- a/src/celerytrack/logclient.py
+++ b/src/celerytrack/logclient.py
@@ -1,8 +1,8 @@
 """A client of the platform log service (protocol in ``standins/log.py``).
 
 Every call returns a :class:`returns.result.Result`: ``Success`` with the
-answer, or ``Failure`` with a :class:`LogError` that says whether the change
-may have taken effect; a caller must treat ``UNKNOWN_OUTCOME`` as "maybe".
+answer, or ``Failure`` with a :class:`LogError` that says whether the append
+may have taken effect. After ``UNKNOWN_OUTCOME`` it may or may not have.
 """
 
 import enum
@@ -13,15 +13,16 @@
 from returns.result import Failure, Result, Success
 
 READ_IDLE_TIMEOUT_S = 2.0
-"""Longest wait for the next bytes of a read, beyond what the log may hold it: a change
-is in force within five seconds, also if the read held before it is never answered."""
+"""Longest wait for the next bytes of a read, in addition to the time that the log may
+hold it. A change must be in force within five seconds, even if the read that was held
+before it is never answered."""
 
 
 class LogErrorKind(enum.Enum):
-    """How a log call failed."""
+    """Why a log call failed."""
 
     CONFLICT = "conflict"
-    """A conditional append found another next offset; nothing was written."""
+    """A conditional append expected another next offset; nothing was written."""
     UNREACHABLE = "unreachable"
     """The request was refused or never arrived; nothing was written."""
     UNKNOWN_OUTCOME = "unknown_outcome"
@@ -29,12 +30,12 @@
     RATE_LIMITED = "rate_limited"
     """Refused by the appends-per-second limit; nothing was written."""
     TRIMMED = "trimmed"
-    """The asked offset is below what the log still keeps."""
+    """The requested offset is below the oldest one that the log retains."""
 
 
 @attrs.frozen
 class LogError:
-    """A failed log call. ``next_offset``/``start_offset`` when known."""
+    """A failed log call, with the log's offsets as far as they are known."""
 
     kind: LogErrorKind
     next_offset: int | None = None
@@ -43,7 +44,7 @@
 
 @attrs.frozen
 class Appended:
-    """Offsets of an accepted append: records got ``first..next-1``."""
+    """Offsets of an accepted append: ``first_offset`` to ``next_offset - 1``."""
 
     first_offset: int
     next_offset: int
@@ -59,11 +60,11 @@
 
 
 class LogClient:
-    """Talks to one log service over a shared aiohttp session.
+    """Client of one log service over a shared aiohttp session.
 
     :param address: ``host:port`` of the log service.
-    :param client_id: sent as ``X-Client``, so faults can cut one client.
-    :param timeout_s: the longest any call may take beyond what the log may hold it.
+    :param client_id: sent as ``X-Client``, so that a fault can partition one client.
+    :param timeout_s: timeout of a call, in addition to the time the log may hold it.
     """
 
     def __init__(self, address: str, client_id: str, timeout_s: float = 5.0) -> None:
@@ -85,7 +86,10 @@
     async def append(
         self, stream: str, records: list[Any], expected_offset: int | None = None
     ) -> Result[Appended, LogError]:
-        """Append ``records`` in one call; conditional if ``expected_offset``."""
+        """Append ``records`` in one call, if the next offset is ``expected_offset``.
+
+        ``None`` appends them unconditionally.
+        """
         body = {"records": records, "expected_offset": expected_offset}
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
         try:
@@ -103,8 +107,8 @@
         except aiohttp.ClientConnectorError:
             return Failure(LogError(LogErrorKind.UNREACHABLE))
         except (aiohttp.ClientError, TimeoutError, ValueError):
-            # The request may have reached the log and taken effect before the
-            # connection broke: the caller must read back to find out.
+            # The append may have taken effect before the connection failed. The
+            # caller has to read the log to find out.
             return Failure(LogError(LogErrorKind.UNKNOWN_OUTCOME))
 
     async def read(
@@ -134,7 +138,7 @@
             return Failure(LogError(LogErrorKind.UNREACHABLE))
 
     async def last(self, stream: str) -> Result[tuple[int, Any] | None, LogError]:
-        """The last record of ``stream`` with its offset, ``None`` if empty."""
+        """The last record of ``stream`` with its offset; ``None`` if it is empty."""
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
         try:
             async with self._http().get(
--- a/src/celerytrack/loop_time.py
+++ b/src/celerytrack/loop_time.py
@@ -1,10 +1,10 @@
-"""The steady clock as the event loop counts it."""
+"""Conversion from the monotonic clock to the event loop's clock."""
 
 import asyncio
 import time
 
 
 def loop_time(monotonic_s: float) -> float:
-    """A time of the steady clock as the running event loop counts it."""
+    """Convert a monotonic time to the clock of the running event loop."""
     loop = asyncio.get_running_loop()
     return loop.time() + monotonic_s - time.monotonic()
--- a/src/celerytrack/settings.py
+++ b/src/celerytrack/settings.py
@@ -1,15 +1,15 @@
-"""Settings in JSON, checked on load.
+"""Settings documents in JSON, validated on load.
 
-Two documents exist:
+There are two documents:
 
-- :class:`Config`, the operators' declaration of classes of work and accounts.
-  It is kept in version control and published on the platform log by
+- :class:`Config`, the operators' declaration of classes of work and client
+  accounts. It is kept in version control and published on the platform log by
   ``celerytrackctl apply``; entries read it from there.
-- :class:`FleetSettings`, what each process learns at start: its own address
-  and failure domain, and where the platform's services are.
+- :class:`FleetSettings`, which each process reads at start: the addresses and
+  failure domains of the fleet, and the addresses of the platform's services.
 
-Both are attrs value classes; cattrs turns JSON into them, and a bad document
-raises :class:`SettingsError` naming the field path and the reason.
+Both are attrs value classes that cattrs structures from JSON. An invalid document
+raises :class:`SettingsError`, which names the field path and the reason.
 """
 
 import collections
@@ -27,39 +27,45 @@
 from celerytrack.strict import strict_converter
 
 MIN_KEY_CHARS = 8
-"""Characters of a key at least: shorter ones are found by trying."""
+"""Shortest key in characters; shorter ones can be guessed by brute force."""
 POST_DRAIN_S = 4.0
-"""What a planned stop needs behind the requests in progress, for the last bills and for
-closing."""
+"""Time a planned stop needs after the requests in progress, to write the last bills and
+to close."""
 _NAME = re.compile(r"^[a-z0-9][a-z0-9._-]{0,62}$")
 _ADDRESS = re.compile(r"^127\.\d{1,3}\.\d{1,3}\.\d{1,3}:\d{1,5}$|^[\w.-]+:\d{1,5}$")
 
 
-def _name(instance: object, attribute: "attrs.Attribute[Any]", value: str) -> None:
+def _validate_name(
+    instance: object, attribute: "attrs.Attribute[Any]", value: str
+) -> None:
     if not _NAME.match(value):
         raise ValueError(f"{attribute.name} {value!r} must match {_NAME.pattern}")
 
 
-def _address(instance: object, attribute: "attrs.Attribute[Any]", value: str) -> None:
+def _validate_address(
+    instance: object, attribute: "attrs.Attribute[Any]", value: str
+) -> None:
     if not _ADDRESS.match(value):
         raise ValueError(f"{attribute.name} {value!r} must be host:port")
 
 
-def _key(instance: object, attribute: "attrs.Attribute[Any]", value: str) -> None:
+def _validate_key(
+    instance: object, attribute: "attrs.Attribute[Any]", value: str
+) -> None:
     if len(value) < MIN_KEY_CHARS:
         raise ValueError(
             f"key must have {MIN_KEY_CHARS} characters or more: {len(value)}"
         )
 
 
-def _leaves_stop_end(
+def _validate_stop_grace(
     instance: "EntryTuning", attribute: "attrs.Attribute[Any]", value: float
 ) -> None:
-    least_s = instance.drain_grace_s + POST_DRAIN_S
-    if value < least_s:
+    min_s = instance.drain_grace_s + POST_DRAIN_S
+    if value < min_s:
         raise ValueError(
             f"{attribute.name} must be drain_grace_s and {POST_DRAIN_S} more, "
-            f"{least_s} at least: {value}"
+            f"{min_s} at least: {value}"
         )
 
 
@@ -68,7 +74,7 @@
 
 
 class BackendKind(enum.Enum):
-    """What kind of back end a class of work is served by."""
+    """The kind of replica that serves a class of work."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -76,21 +82,21 @@
 
 @attrs.frozen
 class WorkClass:
-    """A class of work, as operators declare it.
+    """A class of work as operators declare it.
 
-    :ivar name: used by callers as the ``model`` of a request.
+    :ivar name: the value of ``model`` in callers' requests.
     :ivar kind: model engine or plain service.
     :ivar model: the model (engine) or service name that serves it.
     :ivar ttft_target_s: target time to the first token (engine) or answer.
-    :ivar max_output_tokens: cap on generated tokens; admission reserves it.
-    :ivar priority: 0 is the most urgent; refused last when capacity is short.
-    :ivar idempotent: whether a call may be run twice.
+    :ivar max_output_tokens: limit of generated tokens; admission reserves that many.
+    :ivar priority: 0 is the most urgent, which is shed last.
+    :ivar idempotent: whether a request may run twice.
     :ivar service_cost_tokens: tokens billed for one plain-service call.
     """
 
-    name: ClassName = attrs.field(validator=_name)
+    name: ClassName = attrs.field(validator=_validate_name)
     kind: BackendKind
-    model: str = attrs.field(validator=_name)
+    model: str = attrs.field(validator=_validate_name)
     ttft_target_s: float = attrs.field(validator=_positive)
     max_output_tokens: int = attrs.field(default=256, validator=_non_negative)
     priority: int = attrs.field(default=1, validator=v.and_(v.ge(0), v.le(9)))
@@ -100,21 +106,21 @@
 
 @attrs.frozen
 class Account:
-    """A client account: who it is and the key it signs requests with."""
+    """A client account: its id and the key that it signs requests with."""
 
-    account_id: AccountId = attrs.field(validator=_name)
-    key: str = attrs.field(validator=_key)
+    account_id: AccountId = attrs.field(validator=_validate_name)
+    key: str = attrs.field(validator=_validate_key)
 
 
 @attrs.frozen
 class GrantPolicy:
     """How entries take escrow grants from the ledger.
 
-    :ivar grant_tokens: the least a grant is, while that much is free.
-    :ivar low_water_tokens: take the next grant when what is held falls below.
-    :ivar cover_s: keep this long's worth of the entry's own recent spend.
-    :ivar lease_s: an entry stops spending a grant this long after asking; a
-        dead entry's grants come back this long after it is listed as gone.
+    :ivar grant_tokens: smallest grant, as long as that many tokens are free.
+    :ivar low_water_tokens: request the next grant when fewer tokens are held.
+    :ivar cover_s: hold enough tokens for this time at the entry's recent spend rate.
+    :ivar lease_s: an entry stops spending a grant this long after requesting it; the
+        grants of a dead entry are reclaimed this long after it is listed as gone.
     """
 
     grant_tokens: int = attrs.field(default=4000, validator=_positive)
@@ -126,18 +132,18 @@
 def _unique(field: str) -> Any:
     def check(instance: object, attribute: "attrs.Attribute[Any]", value: Any) -> None:
         counts = collections.Counter(getattr(item, field) for item in value)
-        dupes = sorted(n for n, c in counts.items() if c > 1)
-        if dupes:
-            raise ValueError(f"{attribute.name}: duplicate {field} {dupes}")
+        duplicates = sorted(n for n, c in counts.items() if c > 1)
+        if duplicates:
+            raise ValueError(f"{attribute.name}: duplicate {field} {duplicates}")
 
     return check
 
 
 @attrs.frozen
 class Config:
-    """The operators' declaration, published on the log as one record."""
+    """The operators' declaration, published on the platform log as one record."""
 
-    deployment: str = attrs.field(validator=_name)
+    deployment: str = attrs.field(validator=_validate_name)
     classes: tuple[WorkClass, ...] = attrs.field(validator=_unique("name"))
     accounts: tuple[Account, ...] = attrs.field(validator=_unique("account_id"))
     grant: GrantPolicy = GrantPolicy()
@@ -145,7 +151,7 @@
     _by_key: dict[str, Account] = attrs.field(init=False, eq=False, repr=False)
 
     def __attrs_post_init__(self) -> None:
-        # Indexes, so a request's look-ups do not scan 2,500 accounts.
+        # Indexes, so that look-ups per request do not scan 2,500 accounts.
         object.__setattr__(self, "_by_name", {c.name: c for c in self.classes})
         object.__setattr__(self, "_by_key", {a.key: a for a in self.accounts})
 
@@ -162,55 +168,55 @@
 class EntrySpec:
     """One entry instance: its id, addresses and failure domain.
 
-    :ivar address: where callers connect.
-    :ivar peer_address: where the other entries connect.
+    :ivar address: listen address for callers.
+    :ivar peer_address: listen address for the other entries.
     """
 
-    entry_id: EntryId = attrs.field(validator=_name)
-    address: str = attrs.field(validator=_address)
-    peer_address: str = attrs.field(validator=_address)
-    zone: Zone = attrs.field(validator=_name)
+    entry_id: EntryId = attrs.field(validator=_validate_name)
+    address: str = attrs.field(validator=_validate_address)
+    peer_address: str = attrs.field(validator=_validate_address)
+    zone: Zone = attrs.field(validator=_validate_name)
 
 
 @attrs.frozen
 class ReplicaSpec:
-    """One back-end replica: a model engine or a plain service."""
+    """One replica: a model engine or a plain service."""
 
-    replica_id: ReplicaId = attrs.field(validator=_name)
-    address: str = attrs.field(validator=_address)
-    zone: Zone = attrs.field(validator=_name)
+    replica_id: ReplicaId = attrs.field(validator=_validate_name)
+    address: str = attrs.field(validator=_validate_address)
+    zone: Zone = attrs.field(validator=_validate_name)
     kind: BackendKind
-    model: str = attrs.field(validator=_name)
+    model: str = attrs.field(validator=_validate_name)
     ignores_fence: bool = False
 
 
 @attrs.frozen
 class PlatformSpec:
-    """Where the platform's services listen."""
+    """Addresses of the platform's services."""
 
-    log_address: str = attrs.field(validator=_address)
-    instances_address: str = attrs.field(validator=_address)
-    weights_address: str = attrs.field(validator=_address)
+    log_address: str = attrs.field(validator=_validate_address)
+    instances_address: str = attrs.field(validator=_validate_address)
+    weights_address: str = attrs.field(validator=_validate_address)
 
 
 @attrs.frozen
 class EntryTuning:
     """Timings of an entry instance.
 
-    :ivar ledger_flush_s: shortest time between two appends to the ledger.
-    :ivar route_ttl_s: how long callers keep an address answer.
-    :ivar drain_grace_s: on a planned stop, how long requests in progress may go on.
-    :ivar stop_grace_s: how long after its stop signal the supervisor kills the process.
-    :ivar upstream_timeout_s: longest wait for a back end's first byte.
-    :ivar instance_poll_s: how often the instance list, loads and peers are read.
-    :ivar snapshot_every_s: how often what is in force is written to the log
-        again; well under half of the log's retention.
+    :ivar ledger_flush_s: minimum interval between appends to the ledger.
+    :ivar route_ttl_s: how long callers cache an address answer.
+    :ivar drain_grace_s: how long requests in progress may continue on a planned stop.
+    :ivar stop_grace_s: how long after the stop signal the supervisor kills the process.
+    :ivar upstream_timeout_s: longest wait for the first byte of a replica.
+    :ivar instance_poll_s: interval between reads of the instance list, loads and peers.
+    :ivar snapshot_every_s: interval between snapshots of the state in force on the
+        log; must be well under half of the log's retention.
     """
 
     ledger_flush_s: float = attrs.field(default=0.02, validator=_positive)
     route_ttl_s: float = attrs.field(default=2.0, validator=_positive)
     drain_grace_s: float = attrs.field(default=30.0, validator=_positive)
-    stop_grace_s: float = attrs.field(default=40.0, validator=_leaves_stop_end)
+    stop_grace_s: float = attrs.field(default=40.0, validator=_validate_stop_grace)
     upstream_timeout_s: float = attrs.field(default=30.0, validator=_positive)
     instance_poll_s: float = attrs.field(default=0.5, validator=_positive)
     snapshot_every_s: float = attrs.field(default=60.0, validator=_positive)
@@ -218,14 +224,14 @@
         default="predicted",
         validator=v.in_(("predicted", "round_robin", "least_loaded")),
     )
-    """Replica choice: ``predicted`` (ours); the others are baselines for benches."""
+    """Replica choice: ``predicted``; the others are baselines for benchmarks."""
 
 
 @attrs.frozen
 class FleetSettings:
-    """The layout a process reads at start: who is where."""
+    """The layout of the fleet, which each process reads at start."""
 
-    deployment: str = attrs.field(validator=_name)
+    deployment: str = attrs.field(validator=_validate_name)
     zones: tuple[Zone, ...]
     platform: PlatformSpec
     entries: tuple[EntrySpec, ...] = attrs.field(validator=_unique("entry_id"))
@@ -261,16 +267,16 @@
 
 
 class SettingsError(ValueError):
-    """A settings document is not valid; the message names path and reason."""
+    """An invalid settings document; the message names the path and the reason."""
 
 
 _converter = strict_converter(forbid_extra_keys=True)
 
 
 def structure(data: Any, cls: type[Any]) -> Any:
-    """Turn parsed JSON into ``cls``.
+    """Structure parsed JSON as ``cls``.
 
-    :raises SettingsError: naming each bad field path and why.
+    :raises SettingsError: naming the path of each bad field and the reason.
     """
     try:
         return strict.structure(_converter, data, cls)
@@ -279,12 +285,12 @@
 
 
 def unstructure(value: Any) -> Any:
-    """Turn a settings value back into plain JSON data."""
+    """Convert a settings value back to plain JSON data."""
     return _converter.unstructure(value)
 
 
 def load_json(path: str | pathlib.Path, cls: type[Any]) -> Any:
-    """Read and check the JSON file at ``path`` as ``cls``.
+    """Read the JSON file at ``path`` and validate it as ``cls``.
 
     :raises SettingsError: if the file is not JSON or not a valid ``cls``.
     """
--- a/src/celerytrack/slo.py
+++ b/src/celerytrack/slo.py
@@ -1,4 +1,4 @@
-"""Service-level objectives: how fast a class of work spends its error budget."""
+"""Service-level objectives: the error-budget burn of each class of work."""
 
 import collections
 import math
@@ -12,7 +12,7 @@
 
 SLO_SHARE = 0.95
 """The share of a class's requests that must meet its first-token target."""
-_CALLERS_OWN = frozenset(
+_CALLER_REASONS = frozenset(
     reason.value
     for reason in (
         Reason.BAD_REQUEST,
@@ -21,22 +21,23 @@
         Reason.BUDGET_EXHAUSTED,
     )
 )
-"""Refusals that are right, so they do not count against the objective."""
+"""Reasons of justified refusals, for which the caller is responsible; they do not count
+against the objective."""
 
 
 def burn(missed: int, total: int) -> float:
-    """The share that missed the target over the share allowed to.
+    """The share that missed the target, divided by the share allowed to miss it.
 
-    1.0 spends the error budget exactly; above 1 the objective is broken.
+    1.0 spends the error budget exactly; above 1 the objective is missed.
     """
     return round(missed / total / (1 - SLO_SHARE), 2)
 
 
 @attrs.define
 class ClassReport:
-    """How the requests of one class ended.
+    """Outcomes of the requests of one class.
 
-    :ivar late: answered, but the first piece came after the target.
+    :ivar late: answered, but the first output came after the target time.
     """
 
     in_time: int = 0
@@ -46,7 +47,7 @@
 
     @property
     def total(self) -> int:
-        """All requests that count."""
+        """Number of requests that count."""
         return self.in_time + self.late + self.refused + self.failed
 
     @property
@@ -56,7 +57,7 @@
 
 
 def report(lines: Iterable[LogLine]) -> dict[str, ClassReport]:
-    """Reports by class of work, from the log lines of all entries."""
+    """Reports for each class of work, from the log lines of all entries."""
     classes: dict[str, ClassReport] = collections.defaultdict(ClassReport)
     for line in lines:
         name = line.fields.get("route")
@@ -72,20 +73,20 @@
                 else:
                     row.late += 1
             case Event.REFUSED:
-                row.refused += line.fields.get("reason") not in _CALLERS_OWN
+                row.refused += line.fields.get("reason") not in _CALLER_REASONS
             case Event.ANSWERED | Event.FAILED | Event.STREAM_CUT:
                 row.failed += 1
     return {name: row for name, row in classes.items() if row.total}
 
 
 def _in_time(line: LogLine) -> bool:
-    """Whether the first piece, or a plain answer, came within the target."""
+    """Whether the first output, or a plain answer, came within the target time."""
     first_ms = line.fields.get("first_ms") or line.fields.get("took_ms", math.inf)
     return bool(first_ms <= line.fields["target_ms"])
 
 
 def table(classes: dict[str, ClassReport]) -> list[str]:
-    """A plain-text table of :func:`report`'s result, the worst class first."""
+    """Format :func:`report`'s result as a plain-text table, the worst class first."""
     rows = [f"{'class':20} {'n':>6} {'in time':>8} {'late':>6} {'refused':>8} "]
     rows[0] += f"{'failed':>7} {'burn':>6}"
     for name, row in sorted(classes.items(), key=lambda item: -item[1].burn):
--- a/src/celerytrack/strict.py
+++ b/src/celerytrack/strict.py
@@ -1,8 +1,8 @@
-"""Checked conversion of outside data into typed values, which converts nothing.
+"""Strict structuring of external data into typed values, without coercion.
 
-Both the operators' own documents and the records of other writers pass here.
-Conversion would take ``[]`` for false and ``"2"`` for a number: a slip of the
-writer would come into force as something else than was written.
+It is used for operators' documents and for the records of other writers. Coercion
+would accept ``[]`` as false and ``"2"`` as a number, so a writer's mistake would
+take effect as a value that was never written.
 """
 
 import json
@@ -12,17 +12,17 @@
 
 import cattrs
 
-_SHOWN_CHARS = 40
-"""Characters of a bad value that an error shows: a record may hold megabytes."""
+_MAX_SHOWN_CHARS = 40
+"""Characters of a bad value shown in an error, because a record may hold megabytes."""
 
 
 class UnreadableError(ValueError):
-    """Data that is not what it should be; the message names field and reason."""
+    """Invalid external data; the message names the field and the reason."""
 
 
-def _shown(value: Any) -> str:
-    """A bad value as an error shows it."""
-    if isinstance(value, str) and len(value) > _SHOWN_CHARS:
+def _render(value: Any) -> str:
+    """A short rendering of a bad value for an error message."""
+    if isinstance(value, str) and len(value) > _MAX_SHOWN_CHARS:
         return f"text of {len(value)} characters"
     if isinstance(value, int) and value.bit_length() > 64:
         return f"a number of {value.bit_length()} bits"
@@ -31,40 +31,40 @@
     return json.dumps(value, default=repr)
 
 
-def _only(
+def _accept_only(
     allowed: str, fits: Callable[[Any], bool], *types: type
 ) -> Callable[[Any, type], Any]:
-    """A hook that takes only values of ``types`` that ``fits`` takes."""
+    """A structure hook that accepts values of ``types`` only if ``fits`` holds."""
 
     def check(value: Any, target: type) -> Any:
-        # In JSON true and false are no numbers; in Python they are.
+        # bool is a subclass of int in Python, but JSON booleans are not numbers.
         if type(value) not in types or not fits(value):
-            raise TypeError(f"must be {allowed}, found {_shown(value)}")
+            raise TypeError(f"must be {allowed}, found {_render(value)}")
         return target(value)
 
     return check
 
 
-def _any(value: Any) -> bool:
+def _accept_any(value: Any) -> bool:
     return True
 
 
 def _finite(value: float) -> bool:
-    # An integer beyond the range of a float cannot be asked.
+    # math.isfinite raises OverflowError for an integer beyond the range of a float.
     return isinstance(value, int) and value.bit_length() < 64 or math.isfinite(value)
 
 
 def strict_converter(forbid_extra_keys: bool) -> cattrs.Converter:
-    """A converter whose values must have the declared types as they are.
+    """A converter that accepts only values of the declared types.
 
-    :param forbid_extra_keys: whether a field that is not declared is an error.
+    :param forbid_extra_keys: whether an undeclared field is an error.
     """
     converter = cattrs.Converter(forbid_extra_keys=forbid_extra_keys)
     hooks = (
-        (bool, _only("true or false", _any, bool)),
-        (int, _only("a whole number", _any, int)),
-        (float, _only("a number", _finite, int, float)),
-        (str, _only("text", _any, str)),
+        (bool, _accept_only("true or false", _accept_any, bool)),
+        (int, _accept_only("a whole number", _accept_any, int)),
+        (float, _accept_only("a number", _finite, int, float)),
+        (str, _accept_only("text", _accept_any, str)),
     )
     for target, hook in hooks:
         converter.register_structure_hook(target, hook)
@@ -78,9 +78,9 @@
 
 
 def structure(converter: cattrs.Converter, data: Any, cls: type[Any]) -> Any:
-    """Turn parsed data into ``cls``.
+    """Structure parsed data as ``cls``.
 
-    :raises UnreadableError: naming each bad field path and why.
+    :raises UnreadableError: naming the path of each bad field and the reason.
     """
     try:
         return converter.structure(data, cls)
@@ -94,26 +94,30 @@
 def parse_json(raw: bytes | str) -> Any:
     """Parse JSON of another writer.
 
-    :raises UnreadableError: if it is none, nests too deep, names a field of an
-        object twice or holds a number that JSON has not.
+    :raises UnreadableError: if it is invalid, is nested too deeply, repeats a field
+        of an object or holds a number that JSON does not define.
     """
     try:
-        return json.loads(raw, object_pairs_hook=_object, parse_constant=_no_constant)
+        return json.loads(
+            raw,
+            object_pairs_hook=_object_without_duplicates,
+            parse_constant=_reject_constant,
+        )
     except RecursionError:
-        # Some 1,000 brackets are enough; uncaught, it would end the task that
-        # follows the topic, which then sees no later record either.
+        # Some 1,000 brackets suffice to raise it. Uncaught, it would end the task that
+        # follows the topic, which would then not see any later record either.
         raise UnreadableError("nested too deep") from None
     except ValueError as exc:
         raise UnreadableError(f"not JSON: {exc}") from None
 
 
-def _object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) < len(pairs):
-        # Readers differ in which of the two they take.
+        # JSON parsers differ in which of the two values they use.
         raise UnreadableError("a field is named twice")
     return value
 
 
-def _no_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise UnreadableError(f"{name} is no JSON number")
