--- a/src/celerytrack/platform/__init__.py
+++ b/src/celerytrack/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its names, formats and calls, and nothing that decides.
+"""Adapters to the users' platform: its names, formats and calls, without decisions.
 
-Everything that comes over the wire is decoded here into the project's own
-types, and encoded back here. No name of the wire is used outside.
+Data from the wire is decoded here into the project's own types, and encoded here.
+Names used on the wire do not appear outside this package.
 """
--- a/src/celerytrack/platform/config.py
+++ b/src/celerytrack/platform/config.py
@@ -1,4 +1,4 @@
-"""Decoding the operators' configuration as the platform's store holds it."""
+"""Decoding of the operators' configuration from the platform's store."""
 
 import attrs
 from attrs import validators as v
@@ -24,7 +24,7 @@
     """A configuration record cannot be decoded."""
 
 
-# The store's own field names, as they lie there; fields not named are ignored.
+# Attributes have the store's field names; undeclared fields are ignored.
 # ruff: noqa: N815
 
 
@@ -51,7 +51,7 @@
     affinity: bool = False
 
     @trafficSplit.validator
-    def _goes_somewhere(self, attribute: object, split: object) -> None:
+    def _check_destination(self, attribute: object, split: object) -> None:
         if self.service is None and not split:
             raise ValueError("a route names a service or a split")
 
@@ -113,7 +113,7 @@
 
 
 def _route(data: _Route) -> Route:
-    # A route names one service, or several that share its requests.
+    # A route names one service, or several among which its requests are split.
     split = data.trafficSplit or (_Split(data.service or "", 1.0),)
     stream = data.kind == "stream"
     return Route(
@@ -133,8 +133,8 @@
         max_attempts=data.maxAttempts,
         priority=data.priority,
         public=data.public,
-        # The wire says that the route has an affinity; what it means is that
-        # its requests name the parts of their prompts.
+        # On the wire this is called affinity. It means that the requests of the route
+        # name the parts of their prompts.
         has_prompt=data.affinity,
     )
 
@@ -143,7 +143,7 @@
     return Service(
         name=ServiceName(data.name),
         max_connections=data.connLimit,
-        # Called so for the step between two events' counts of tokens.
+        # The stride is the step between the token counts of two consecutive events.
         max_event_tokens=data.engine.stride if data.engine else 1,
     )
 
--- a/src/celerytrack/platform/http.py
+++ b/src/celerytrack/platform/http.py
@@ -1,4 +1,4 @@
-"""Requests, answers and addresses as callers and endpoints speak them."""
+"""HTTP headers and bodies exchanged with callers and endpoints."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -22,13 +22,14 @@
 _EXPECTED = "X-Expect-Replica"
 _ACCOUNT = "X-Tenant"
 _URGENCY = "X-Request-Urgency"
-_LEAST_URGENT = 9
-_MOST_DIGITS = 15
-"""Digits of a count of tokens: beyond any prompt, and within 64 bits."""
-_MOST_TIME_MS = 86_400_000.0
-"""Longest time that a caller may say to wait: a day."""
-
-_ONE_CONNECTION = frozenset(
+_MAX_URGENCY = 9
+"""Highest urgency number; 0 is the most urgent."""
+_MAX_COUNT_DIGITS = 15
+"""Longest token count in digits: more than any prompt has, and within 64 bits."""
+_MAX_DEADLINE_MS = 86_400_000.0
+"""Longest deadline that a caller may set: one day."""
+
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -41,7 +42,7 @@
         "upgrade",
     }
 )
-_OURS_TO_SET = frozenset(
+_NOT_FORWARDED = frozenset(
     name.lower()
     for name in (
         "Authorization",
@@ -60,23 +61,23 @@
         "Kv-Fetch",
     )
 )
-_REWRITTEN = frozenset({"content-length", "date", "server"})
+_NOT_RETURNED = frozenset({"content-length", "date", "server"})
 
 SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-"""Headers a client library adds on its own: an endpoint that took up the
-encoding they offer would answer a body that the caller cannot read."""
+"""Headers that the client library would add by default. An endpoint that used an
+encoding they offer would return a body that the caller cannot read."""
 
 
 @attrs.frozen
 class RequestFacts:
-    """What a caller's request says of itself.
+    """What the headers of a caller's request state.
 
-    :ivar deadline_s: how long the caller waits; ``None`` if it does not say.
+    :ivar deadline_s: how long the caller waits; ``None`` if not stated.
     :ivar input_tokens: tokens of the prompt.
-    :ivar output_tokens: most tokens that may be generated.
+    :ivar output_tokens: maximum number of generated tokens.
     :ivar parts: ``(key, tokens)`` of the prompt's parts, in order; a key
-        stands for the part and all before it, under the same model.
-    :ivar last_event_id: where the caller's broken stream ended.
+        identifies the part and all parts before it, for the same model.
+    :ivar last_event_id: last event that the caller got of an aborted stream.
     """
 
     request_id: RequestId
@@ -141,25 +142,25 @@
 
 
 def _count(text: str) -> int:
-    # A count below nothing would be set aside as a gift to the account.
-    if not text.strip().isdecimal() or len(text) > _MOST_DIGITS:
+    # Reserving a negative count would add tokens to the account.
+    if not text.strip().isdecimal() or len(text) > _MAX_COUNT_DIGITS:
         raise ValueError("a count must be a whole number")
     return int(text)
 
 
 def _time_s(text: str) -> float:
     time_ms = float(text)
-    if not 0 <= time_ms <= _MOST_TIME_MS:
+    if not 0 <= time_ms <= _MAX_DEADLINE_MS:
         raise ValueError("a time must be milliseconds from now")
     return time_ms / 1_000
 
 
 @attrs.frozen
 class Envelope:
-    """What the system tells an endpoint about a request it forwards.
+    """What the system states to an endpoint about a request that it forwards.
 
-    :ivar left_s: time the endpoint has.
-    :ivar last_event_id: the stream goes on behind this event.
+    :ivar left_s: time left until the deadline.
+    :ivar last_event_id: the stream resumes after this event.
     """
 
     endpoint_id: EndpointId
@@ -172,11 +173,11 @@
 def forwarded_headers(
     headers: CIMultiDictProxy[str], envelope: Envelope
 ) -> CIMultiDict[str]:
-    """The headers an endpoint gets for a caller's request."""
-    out = _end_to_end(headers, _OURS_TO_SET)
+    """The headers to send to an endpoint with a caller's request."""
+    out = _end_to_end_headers(headers, _NOT_FORWARDED)
     out[_DEADLINE] = str(max(1, int(envelope.left_s * 1_000)))
     out[_EXPECTED] = envelope.endpoint_id
-    out[_URGENCY] = str(min(max(envelope.urgency, 0), _LEAST_URGENT))
+    out[_URGENCY] = str(min(max(envelope.urgency, 0), _MAX_URGENCY))
     if envelope.account is not None:
         out[_ACCOUNT] = envelope.account
     if envelope.last_event_id is not None:
@@ -185,30 +186,30 @@
 
 
 def returned_headers(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """The headers a caller gets of an endpoint's answer."""
-    return _end_to_end(headers, _REWRITTEN)
+    """The headers to return to a caller with an endpoint's answer."""
+    return _end_to_end_headers(headers, _NOT_RETURNED)
 
 
-def _end_to_end(
-    headers: CIMultiDictProxy[str], without: frozenset[str]
+def _end_to_end_headers(
+    headers: CIMultiDictProxy[str], excluded: frozenset[str]
 ) -> CIMultiDict[str]:
     named = {
         name.strip().lower()
         for value in headers.getall("Connection", ())
         for name in value.split(",")
     }
-    drop = _ONE_CONNECTION | named | without
-    return CIMultiDict((k, v) for k, v in headers.items() if k.lower() not in drop)
+    dropped = _HOP_BY_HOP | named | excluded
+    return CIMultiDict((k, v) for k, v in headers.items() if k.lower() not in dropped)
 
 
 @attrs.frozen
 class AnswerFacts:
-    """What an endpoint's answer says of itself.
+    """What the head of an endpoint's answer states.
 
-    :ivar request_id: whose answer it is.
-    :ivar did_not_run: the endpoint vouches that it did not run the request.
-    :ivar sealed: whether the answer bears the endpoint's signature.
-    :ivar wrong_endpoint: another endpoint has the address now.
+    :ivar request_id: the request that it answers.
+    :ivar did_not_run: the endpoint guarantees that it did not run the request.
+    :ivar sealed: whether the answer carries the endpoint's signature.
+    :ivar wrong_endpoint: the address now belongs to another endpoint.
     """
 
     request_id: str | None
@@ -233,5 +234,5 @@
 
 
 def caller_zone(query: Mapping[str, str]) -> str:
-    """The failure domain that a caller who asks for addresses names."""
+    """The failure domain named in a caller's query for addresses."""
     return query.get("zone", "")
--- a/src/celerytrack/platform/log_format.py
+++ b/src/celerytrack/platform/log_format.py
@@ -1,4 +1,4 @@
-"""How the platform's store writes records and answers: bytes to values."""
+"""Wire format of the records and answers of the platform's store."""
 
 import base64
 import re
@@ -14,16 +14,16 @@
     structure,
 )
 
-_END_AND_FIRST = struct.Struct(">QQ")
+_BATCH_HEADER = struct.Struct(">QQ")
 _LENGTH = struct.Struct(">I")
 ERA_HEADER = "Store-Era"
-"""Tells in each answer how often the store came back from an older copy."""
-_ERA = re.compile("[0-9]{1,18}")
+"""Header of each answer: how often the log was restored from an older backup."""
+_ERA_DIGITS = re.compile("[0-9]{1,18}")
 
 
 @attrs.frozen
 class KeyedRecord:
-    """One record of a keyed topic; ``value`` is ``None`` if the key is dropped."""
+    """One record of a keyed topic; ``value`` is ``None`` if the key was deleted."""
 
     offset: int
     key: str
@@ -34,10 +34,10 @@
 class Batch:
     """Records in the order of the log.
 
-    :ivar next_offset: the offset to go on from.
-    :ivar end: the offset behind the last record when the answer began; beyond
-        ``next_offset`` if there was more than the answer held.
-    :ivar era: the era of the log that the offsets belong to; ``None`` if not told.
+    :ivar next_offset: the offset to continue from.
+    :ivar end: the offset after the last record of the log when the answer began;
+        beyond ``next_offset`` if the answer did not hold all records.
+    :ivar era: the era of the log that the offsets belong to; ``None`` if unknown.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -69,7 +69,7 @@
 class Page:
     """One page of the newest records.
 
-    :ivar end: the offset behind the last record.
+    :ivar end: the offset after the last record.
     :ivar more: whether another page follows.
     """
 
@@ -82,36 +82,36 @@
 
 
 def decode_era(value: str | None) -> Era | None:
-    """The era that an answer tells; ``None`` if it tells none.
+    """Decode the era of an answer; ``None`` if the header is missing.
 
-    :param value: of the header :data:`ERA_HEADER`.
-    :raises UnreadableError: if it is no number.
+    :param value: value of the header :data:`ERA_HEADER`.
+    :raises UnreadableError: if it is not a whole number.
     """
     if value is None:
         return None
-    if _ERA.fullmatch(value) is None:
+    if _ERA_DIGITS.fullmatch(value) is None:
         raise UnreadableError(f"an era must be a whole number, found {value[:40]!r}")
     return Era(int(value))
 
 
 def decode_appended(data: bytes) -> int:
-    """The offset of what was appended.
+    """Decode the offset of an appended record.
 
-    :raises UnreadableError: if the answer is none of the store's.
+    :raises UnreadableError: if the answer is not in the store's format.
     """
     appended: _Appended = structure(_converter, parse_json(data), _Appended)
     return appended.offset
 
 
 def decode_page(data: bytes) -> Page:
-    """One page of the newest record of each key.
+    """Decode one page of the newest record of each key.
 
-    :raises UnreadableError: if the answer is none of the store's.
+    :raises UnreadableError: if the answer is not in the store's format.
     """
     page: _NewestPage = structure(_converter, parse_json(data), _NewestPage)
     if page.hasMore and not page.entries:
-        # Asking on from nothing would go round for ever.
-        raise UnreadableError("a page without entries says that there are more")
+        # There is no key to ask for the next page after, so paging would never end.
+        raise UnreadableError("a page without entries has hasMore set")
     records = [
         KeyedRecord(entry.offset, entry.key, _from_base64(entry.value))
         for entry in page.entries
@@ -127,33 +127,35 @@
 
 
 def encode_keyed(key: str, value: bytes) -> bytes:
-    """One record of a keyed topic as it goes over the wire."""
+    """Encode one record of a keyed topic."""
     name = key.encode()
     content = bytes([len(name)]) + name + value
     return _LENGTH.pack(len(content)) + content
 
 
 def decode_batch(offset: int, data: bytes) -> Batch:
-    """The records that were read from ``offset`` on.
+    """Decode the records read from ``offset`` on.
 
-    :raises UnreadableError: if the answer is none of the store's.
+    :raises UnreadableError: if the answer is not in the store's format.
     """
     records = []
-    at = _END_AND_FIRST.size
+    at = _BATCH_HEADER.size
     if len(data) < at:
-        raise UnreadableError(f"{len(data)} bytes are no batch")
-    end, _ = _END_AND_FIRST.unpack_from(data)
+        raise UnreadableError(
+            f"a batch must have {at} bytes or more, found {len(data)}"
+        )
+    end, _ = _BATCH_HEADER.unpack_from(data)
     while at < len(data):
         if len(data) < at + _LENGTH.size:
-            raise UnreadableError("a batch ends within a length")
+            raise UnreadableError("a batch ends inside a length field")
         (size,) = _LENGTH.unpack_from(data, at)
         at += _LENGTH.size
         content = data[at : at + size]
         at += size
         if len(content) < size or not content or size <= content[0]:
-            raise UnreadableError("a batch ends within a record")
+            raise UnreadableError("a batch ends inside a record")
         key_end = 1 + content[0]
-        # A key that is no text names nobody; the records behind it hold.
+        # A key that is not UTF-8 matches no known key; the records after it are valid.
         key = content[1:key_end].decode(errors="replace")
         records.append(KeyedRecord(offset, key, content[key_end:] or None))
         offset += 1
--- a/src/celerytrack/platform/registry.py
+++ b/src/celerytrack/platform/registry.py
@@ -1,7 +1,7 @@
-"""Decoding what endpoints register of themselves in the platform's store.
+"""Decoding of endpoints' registrations from the platform's store.
 
-Other writers share the topic. A record that is not right in every field names
-no endpoint: the error says which field, and what is allowed there.
+Other writers share the topic. A record with any invalid field is rejected as a
+whole; the error names the field and what is allowed there.
 """
 
 import re
@@ -22,44 +22,45 @@
 _READY = "ready"
 _DRAINING = "draining"
 _ADDRESS = re.compile(r"[A-Za-z0-9.-]{1,253}:[0-9]{1,5}")
-_MOST_SLOTS = 1_000_000
-"""Requests that one endpoint may say to run at once: far beyond any engine, and still a
-number that sums and divides without harm."""
-_MOST_COLD_MS = 3_600_000
-"""Longest time that an endpoint may say to stay slow after its start: an hour."""
-
-_MOST_VERSION = 100
-"""Characters of a version: as many as a digest and a name take."""
+_MAX_SLOTS = 1_000_000
+"""Most concurrent requests that an endpoint may register: far more than an engine runs,
+and still safe to sum and divide."""
+_MAX_COLD_MS = 3_600_000
+"""Longest warm-up that an endpoint may register: one hour."""
+_MAX_VERSION_CHARS = 100
+"""Longest version in characters: enough for a digest and a name."""
 
 
 class RegistrationError(ValueError):
     """A registration cannot be decoded."""
 
 
-def _address(instance: object, attribute: "attrs.Attribute[str]", value: str) -> None:
+def _validate_address(
+    instance: object, attribute: "attrs.Attribute[str]", value: str
+) -> None:
     if not _ADDRESS.fullmatch(value) or not 0 < int(value.rpartition(":")[2]) < 65_536:
         raise ValueError("address must be host:port")
 
 
-def _between(least: float, most: float) -> Any:
-    return v.and_(v.ge(least), v.le(most))
+def _between(minimum: float, maximum: float) -> Any:
+    return v.and_(v.ge(minimum), v.le(maximum))
 
 
 @attrs.frozen
 class _Record:
-    """A registration as it lies in the store; fields not named are ignored."""
+    """A registration in the store's format; undeclared fields are ignored."""
 
     service: str = attrs.field(validator=v.min_len(1))
-    address: str = attrs.field(validator=_address)
+    address: str = attrs.field(validator=_validate_address)
     zone: str = attrs.field(validator=v.min_len(1))
     state: str = attrs.field(validator=v.in_((_READY, _DRAINING)))
-    slots: int = attrs.field(validator=_between(1, _MOST_SLOTS))
+    slots: int = attrs.field(validator=_between(1, _MAX_SLOTS))
     coldLeftMs: float = attrs.field(  # noqa: N815
-        default=0.0, validator=_between(0, _MOST_COLD_MS)
+        default=0.0, validator=_between(0, _MAX_COLD_MS)
     )
     sequence: int = attrs.field(default=0, validator=_between(0, 2**63))
     born: int = attrs.field(default=0, validator=_between(0, 2**63))
-    version: str = attrs.field(default="", validator=v.max_len(_MOST_VERSION))
+    version: str = attrs.field(default="", validator=v.max_len(_MAX_VERSION_CHARS))
 
 
 _converter = strict_converter(forbid_extra_keys=False)
--- a/src/celerytrack/platform/rows.py
+++ b/src/celerytrack/platform/rows.py
@@ -1,4 +1,4 @@
-"""The row that an entry keeps in the platform's store, as bytes."""
+"""Byte format of the row that an entry keeps in the platform's store."""
 
 import math
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 from celerytrack.members import Member, MemberState
 from celerytrack.prepaid import AccountClaim
 
-_UNREADABLE = (
+_DECODE_ERRORS = (
     ValueError,
     TypeError,
     AttributeError,
@@ -53,13 +53,13 @@
 
 
 def decode_shares(raw: bytes) -> dict[AccountId, AccountClaim]:
-    """Decode what an entry claims of each account.
+    """Decode an entry's claim on each client account.
 
     :raises RowError: naming what is wrong.
     """
     try:
         return _shares(msgpack.unpackb(raw))
-    except _UNREADABLE as exc:
+    except _DECODE_ERRORS as exc:
         raise RowError(f"shares: {type(exc).__name__}: {exc}") from exc
 
 
@@ -95,7 +95,7 @@
     try:
         epoch, front, peer, zone, state, *numbers, shares = msgpack.unpackb(raw)
         made_s, offset_s, started_s, left_at_s, lead_s, link_mbps, *more = numbers
-        # A release that knows of no eras tells none.
+        # Releases without eras omit the field.
         (era,) = more or (None,)
         return Member(
             entry_id=EntryId(entry_id),
@@ -113,12 +113,13 @@
             era=None if era is None else Era(_whole(era)),
             shares=_shares(shares),
         )
-    except _UNREADABLE as exc:
+    except _DECODE_ERRORS as exc:
         raise RowError(f"row of {entry_id}: {type(exc).__name__}: {exc}") from exc
 
 
 def _whole(value: Any) -> int:
-    # Added to what others claim: half a token, or true, would spoil the sum.
+    # The values are summed with other entries' claims: a fraction, or true, would
+    # corrupt the sum.
     if type(value) is not int:
         raise TypeError(f"must be a whole number, found {type(value).__name__}")
     return value
--- a/src/celerytrack/platform/settings.py
+++ b/src/celerytrack/platform/settings.py
@@ -1,4 +1,4 @@
-"""What a process learns at its start, from the platform's settings file."""
+"""Settings that a process reads at start, from the platform's settings file."""
 
 import os
 import pathlib
@@ -12,7 +12,7 @@
 
 SETTINGS_VARIABLE = "CELERYTRACK_SETTINGS"
 METRICS_PORT = 9102
-"""Where metrics are served; named in ``deploy/system.toml`` too."""
+"""Port of the metrics; ``deploy/system.toml`` names it too."""
 _DEFAULT_PATH = "/etc/celerytrack/boot.toml"
 
 
@@ -20,23 +20,23 @@
 class ProcessSettings:
     """One process's place in the deployment.
 
-    :ivar entry_id: this instance's name; it stays over restarts.
-    :ivar ip: this instance's address, distinct for a replacement.
-    :ivar front_address: where callers connect.
-    :ivar readiness_address: where the platform asks whether it is ready.
-    :ivar directory_address: where callers ask for addresses, if served here.
-    :ivar peer_address: where the other entries connect.
-    :ivar metrics_address: where metrics are served.
-    :ivar store_address: the platform's log.
+    :ivar entry_id: this instance's name, which is stable over restarts.
+    :ivar ip: this instance's address; a replacement has another one.
+    :ivar front_address: listen address for callers.
+    :ivar readiness_address: listen address for the platform's readiness probes.
+    :ivar directory_address: listen address for address queries, if served here.
+    :ivar peer_address: listen address for the other entries.
+    :ivar metrics_address: listen address for metrics.
+    :ivar store_address: address of the platform's log.
     :ivar grace_s: time between SIGTERM and SIGKILL.
-    :ivar retry_ratio: second attempts allowed per request, fleet-wide.
-    :ivar retry_slack: second attempts allowed beyond that in a window.
-    :ivar max_ttl_s: longest lifetime of an address answer that counts.
+    :ivar retry_ratio: retries allowed per request, fleet-wide.
+    :ivar retry_slack: retries allowed beyond that in a window.
+    :ivar max_ttl_s: longest TTL allowed for an address answer.
     :ivar config_in_force_s: how long after its confirmation a configuration must be
         in force everywhere.
-    :ivar leaving_known_s: how long after its confirmation an endpoint's leaving must be
-        known everywhere.
-    :ivar link_mbps: what the instance's link carries; 0 if it is not told.
+    :ivar leaving_known_s: how long after its confirmation the draining of an endpoint
+        must be known everywhere.
+    :ivar link_mbps: bandwidth of the instance's link; 0 if unknown.
     """
 
     entry_id: EntryId
@@ -58,14 +58,14 @@
 
 
 def settings_path() -> pathlib.Path:
-    """Where the settings file lies."""
+    """Path of the settings file."""
     return pathlib.Path(os.environ.get(SETTINGS_VARIABLE, _DEFAULT_PATH))
 
 
 def load_settings(path: pathlib.Path) -> ProcessSettings:
     """Read and decode the settings file.
 
-    :raises SettingsError: naming the field that is missing or of a wrong type.
+    :raises SettingsError: naming the field that is missing or has a wrong type.
     """
     try:
         data = tomllib.loads(path.read_text())
@@ -75,7 +75,7 @@
 
 
 def decode_settings(data: dict[str, Any]) -> ProcessSettings:
-    """Decode parsed settings; fields that are not known are ignored."""
+    """Decode parsed settings; unknown fields are ignored."""
     listen = _table(data, "listen")
     bounds = _table(data, "bounds")
     platform = _table(data, "platform")
@@ -102,7 +102,9 @@
 def _first_port(data: dict[str, Any]) -> int:
     ports = data.get("internalPorts")
     if not isinstance(ports, list) or not ports or not isinstance(ports[0], int):
-        raise SettingsError(f"$.internalPorts: expected ports, found {ports!r}")
+        raise SettingsError(
+            f"$.internalPorts: expected a list of ports, found {ports!r}"
+        )
     return ports[0]
 
 
--- a/src/celerytrack/platform/store.py
+++ b/src/celerytrack/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store, an append-only log.
+"""Client of the platform's store, an append-only log.
 
 Every call returns a :class:`returns.result.Result`; a :class:`StoreError`
 says whether an append may have taken effect.
@@ -34,41 +34,41 @@
 
 CALL_TIMEOUT_S = 0.7
 """Longest wait for the next bytes of an answer: more than a slow store takes. A call
-made while the store is away holds up the next one, so a longer wait delays the first
-row after an outage, and a loss of power before it costs all that the outage freed."""
+made while the store is unreachable blocks the next one, so a longer wait delays the
+first row after an outage. A loss of power before that row is written costs all tokens
+that were freed during the outage."""
 MAX_ANSWER_S = 6.0
-"""Longest time that an answer may go on arriving. A large configuration takes seconds
-on a narrow link that others use too: given up sooner it would be asked for again for
-ever, and the entry would never start. A half-dead connection ends by it."""
+"""Longest time to receive an answer. A large configuration takes seconds on a slow,
+shared link. With a shorter limit the call would be aborted and repeated for ever, and
+the entry would never start. The limit also ends calls on a half-dead connection."""
 MAX_READ_KB = 128
-"""Most of a topic that one read asks for; a larger record comes alone. The reads of
-other topics wait for it on a narrow link, and left to the store it would be mostly rows
-that others have superseded."""
+"""Largest answer that one read requests; a larger record is sent alone. On a slow link
+the reads of other topics wait for the answer, and without this limit the store would
+fill it mostly with rows that have been superseded."""
 IDLE_S = 30.0
-"""Idle time after which a connection is not used again."""
+"""Idle time after which a connection is not reused."""
 _PAGE = 500
 _Decoded = TypeVar("_Decoded")
 
 
 class StoreErrorKind(enum.Enum):
-    """How a call failed."""
+    """Why a call failed."""
 
     UNREACHABLE = "unreachable"
-    """No answer: an append may have taken effect, or may do so later."""
+    """No answer; an append may have taken effect, or may do so later."""
     REFUSED = "refused"
     """The store refused the call; nothing was done."""
     TRIMMED = "trimmed"
-    """The records asked for are gone; the newest of each key is not."""
+    """The requested records were deleted; the newest of each key is still there."""
     FENCED = "fenced"
-    """A later start of this producer has written."""
+    """A later incarnation of this producer has written."""
     UNREADABLE = "unreadable"
-    """An answer came that is none of the store's; an append may have taken
-    effect."""
+    """The answer is not in the store's format; an append may have taken effect."""
     OUT_OF_SEQUENCE = "out_of_sequence"
-    """The append's number does not follow the last one."""
+    """The append's sequence number does not follow the last one."""
     OLDER_ERA = "older_era"
-    """The answer is of the log before it came back from a copy; an append that it
-    tells of may be lost, or may take effect later."""
+    """The answer is from before the log was restored from an older backup. An append
+    that it confirms may be lost, or may take effect later."""
 
 
 @attrs.frozen
@@ -76,7 +76,7 @@
     """A failed call.
 
     :ivar detail: the status or the exception, for the log.
-    :ivar expected: the sequence number that would follow, when out of sequence.
+    :ivar expected: the next valid sequence number, if out of sequence.
     """
 
     kind: StoreErrorKind
@@ -86,10 +86,11 @@
 
 @attrs.frozen
 class Writer:
-    """Who appends: the store orders and deduplicates by it.
+    """Identity of an append, by which the store orders and deduplicates.
 
-    :ivar epoch: grows with each start; appends of a lower one are fenced.
-    :ivar sequence: number of this append; a repeat gets its first answer.
+    :ivar epoch: fencing token that grows with each incarnation; appends with a lower
+        one are fenced.
+    :ivar sequence: number of this append; a repeat gets the first answer again.
     """
 
     name: str
@@ -98,10 +99,10 @@
 
 
 class StoreClient:
-    """Talks to the store over a session of its own.
+    """Client of the store with its own HTTP session.
 
     :param address: ``host:port`` of the store.
-    :param eras: told the era of each answer, and says which come too late.
+    :param eras: observes the era of each answer and detects late answers.
     """
 
     def __init__(self, address: str, eras: EraTracker | None = None) -> None:
@@ -124,9 +125,9 @@
     async def newest(self, topic: str) -> Result[Batch, StoreError]:
         """The newest record of each key of ``topic``.
 
-        Pages are no snapshot: the batch goes on from the end at its first
-        page, so that what changed between pages is read again. Pages of two eras are
-        no batch at all.
+        The pages are not a snapshot. The batch therefore continues from the end at
+        its first page, so that changes between pages are read again. Pages of
+        different eras are rejected.
         """
         records: list[KeyedRecord] = []
         params = {"topic": topic, "part": "0"}
@@ -134,7 +135,7 @@
         changes = self._eras.changes
         while True:
             data = await self._call("GET", "/log-newest", params)
-            answer = data.bind(lambda raw: _checked(lambda: decode_page(raw)))
+            answer = data.bind(lambda raw: _decode_answer(lambda: decode_page(raw)))
             match answer:
                 case Failure(error):
                     return Failure(error)
@@ -143,7 +144,7 @@
                 first_end = page.end
                 changes = self._eras.changes
             elif changes != self._eras.changes:
-                return Failure(_older_era(self._eras.known))
+                return Failure(_older_era_error(self._eras.known))
             records += page.records
             if not page.more:
                 records.sort(key=lambda r: r.offset)
@@ -160,8 +161,8 @@
     ) -> Result[Batch, StoreError]:
         """Records of a keyed topic from ``offset`` on.
 
-        :param wait_s: how long the store may wait for the first of them.
-        :param arriving: set once the answer begins to arrive.
+        :param wait_s: how long the store may hold the call until a record exists.
+        :param arriving: set when the answer starts to arrive.
         """
         params = {
             "topic": topic,
@@ -175,27 +176,29 @@
             "GET", "/log-read", params, extra_s=wait_s, arriving=arriving
         )
         era = self._eras.known
-        batch = answer.bind(lambda data: _checked(lambda: decode_batch(offset, data)))
+        batch = answer.bind(
+            lambda data: _decode_answer(lambda: decode_batch(offset, data))
+        )
         return batch.map(lambda b: attrs.evolve(b, era=era))
 
     async def end(self, topic: str, last_key: str) -> Result[int, StoreError]:
-        """The offset behind the last record, without the records.
+        """The offset after the last record, without the records.
 
-        :param last_key: the topic's last key; the answer holds those after it.
+        :param last_key: the topic's last key; the answer holds only keys after it.
         """
         params = {"topic": topic, "part": "0", "after": last_key}
         answer = await self._call("GET", "/log-newest", params)
-        return answer.bind(lambda data: _checked(lambda: decode_page(data).end))
+        return answer.bind(lambda data: _decode_answer(lambda: decode_page(data).end))
 
     async def append(
         self, topic: str, key: str, value: bytes, writer: Writer
     ) -> Result[int, StoreError]:
-        """Append one keyed record; its offset."""
+        """Append one keyed record; returns its offset."""
         answer = await self._append(topic, encode_keyed(key, value), writer)
-        return answer.bind(lambda data: _checked(lambda: decode_appended(data)))
+        return answer.bind(lambda data: _decode_answer(lambda: decode_appended(data)))
 
     async def set_epoch(self, topic: str, writer: Writer) -> Result[None, StoreError]:
-        """Fence off appends of earlier starts of ``writer``."""
+        """Fence off appends of earlier incarnations of ``writer``."""
         answer = await self._append(topic, b"", writer)
         return answer.map(lambda _: None)
 
@@ -225,7 +228,7 @@
             sock_connect=CALL_TIMEOUT_S,
             sock_read=CALL_TIMEOUT_S + extra_s,
         )
-        asked_at = self._eras.changes
+        changes_before = self._eras.changes
         try:
             async with self._session.request(
                 method, self._base + path, params=params, data=body, timeout=timeout
@@ -235,39 +238,39 @@
                 data = await response.read()
                 era = self._era_of(response)
                 if (
-                    self._eras.observe(era, asked_at, time.monotonic())
+                    self._eras.observe(era, changes_before, time.monotonic())
                     is EraStatus.LATE
                 ):
-                    return Failure(_older_era(era))
+                    return Failure(_older_era_error(era))
                 if response.status == 200:
                     return Success(data)
-                return Failure(_refusal(response.status, data))
+                return Failure(_error_of_status(response.status, data))
         except (aiohttp.ClientError, OSError, TimeoutError) as exc:
             detail = f"{type(exc).__name__}: {exc}"
             return Failure(StoreError(StoreErrorKind.UNREACHABLE, detail))
 
     def _era_of(self, response: aiohttp.ClientResponse) -> Era | None:
-        """The era of an answer; one that is no number is as good as none."""
+        """The era of an answer; an unreadable one counts as missing."""
         try:
             return decode_era(response.headers.get(ERA_HEADER))
         except UnreadableError as exc:
             detail = str(exc)
         if detail != self._unreadable_era:
-            # Once for each value: every answer may tell it.
+            # Log each value once, because every answer may carry it.
             self._unreadable_era = detail
             log_event(_log, Event.ERA_UNREADABLE, logging.ERROR, detail=detail)
         return None
 
 
-def _older_era(era: Era | None) -> StoreError:
+def _older_era_error(era: Era | None) -> StoreError:
     return StoreError(StoreErrorKind.OLDER_ERA, f"era {era}")
 
 
-def _refusal(status: int, data: bytes) -> StoreError:
+def _error_of_status(status: int, data: bytes) -> StoreError:
     if status == 410:
         return StoreError(StoreErrorKind.TRIMMED, "410")
     if status == 409:
-        body = _object(data)
+        body = _decode_object(data)
         if body.get("reason") == "fenced":
             return StoreError(StoreErrorKind.FENCED, "409 fenced")
         expected = next(
@@ -279,7 +282,7 @@
     return StoreError(StoreErrorKind.UNREACHABLE, str(status))
 
 
-def _object(data: bytes) -> dict[str, object]:
+def _decode_object(data: bytes) -> dict[str, object]:
     try:
         value = parse_json(data)
     except UnreadableError:
@@ -287,8 +290,8 @@
     return value if isinstance(value, dict) else {}
 
 
-def _checked(decode: Callable[[], _Decoded]) -> Result[_Decoded, StoreError]:
-    """An answer as decoded, or that it cannot be."""
+def _decode_answer(decode: Callable[[], _Decoded]) -> Result[_Decoded, StoreError]:
+    """Decode an answer; an unreadable one becomes a failure."""
     try:
         return Success(decode())
     except UnreadableError as exc:
--- a/src/celerytrack/platform/suspect_records.py
+++ b/src/celerytrack/platform/suspect_records.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of requests that end endpoints, as bytes."""
+"""Byte format of entries' findings about requests that crash endpoints."""
 
 import itertools
 import math
@@ -12,16 +12,16 @@
 
 KIND = "suspects"
 MAX_TEXT_CHARS = 200
-"""Characters of an id or a build: more would fill an entry's memory."""
+"""Longest id or build in characters; longer ones would fill an entry's memory."""
 MAX_REMAINING_S = 3_600.0
-"""Longest trial that may be told: longer than any request lasts, and a wrong one still
-ends."""
+"""Longest remaining time of a probe: longer than any request lasts, and short enough
+that a wrong value expires."""
 MAX_ITEMS = 1_000
-"""Endings or trials of one entry: several times what an entry tells."""
+"""Most crashes or probes of one entry: several times what an entry sends."""
 
 
 class FindingsError(ValueError):
-    """Bytes that tell nothing of suspects."""
+    """Findings cannot be decoded."""
 
 
 def encode_findings(findings: Findings) -> bytes:
@@ -35,18 +35,18 @@
             for evidence, at_s in zip(findings.evidence, times_s, strict=False)
         ],
         [_evidence_fields(evidence) for evidence in findings.cleared],
-        [(t.fingerprint, t.endpoint_id, t.remaining_s) for t in findings.probes],
+        [(p.fingerprint, p.endpoint_id, p.remaining_s) for p in findings.probes],
     )
     return bytes(msgpack.packb(fields))
 
 
 def _evidence_fields(evidence: Evidence) -> tuple[bytes, str, int, str]:
-    ending = evidence.crash
-    return evidence.fingerprint, ending.endpoint_id, ending.born_ms, ending.build
+    crash = evidence.crash
+    return evidence.fingerprint, crash.endpoint_id, crash.born_ms, crash.build
 
 
 def decode_findings(raw: bytes) -> Findings:
-    """Decode what an entry tells.
+    """Decode the findings of an entry.
 
     :raises FindingsError: naming what is wrong.
     """
@@ -58,61 +58,66 @@
 
 
 def findings_of(fields: Any) -> Findings:
-    """The findings that unpacked ``fields`` tell.
+    """Decode findings from unpacked ``fields``.
 
     :raises FindingsError: naming what is wrong.
     """
     match fields:
-        case ["suspects", str(entry_id), list(seen), list(forgiven), list(trials)]:
+        case ["suspects", str(entry_id), list(crashes), list(cleared), list(probes)]:
             return Findings(
-                EntryId(_short(entry_id)),
-                tuple(_evidence(item[:-1]) for item in _few(seen)),
-                tuple(_evidence(item) for item in _few(forgiven)),
-                tuple(_trial(item) for item in _few(trials)),
-                tuple(_unix_s(item[-1]) for item in seen),
+                EntryId(_check_text(entry_id)),
+                tuple(_evidence(item[:-1]) for item in _check_items(crashes)),
+                tuple(_evidence(item) for item in _check_items(cleared)),
+                tuple(_probe(item) for item in _check_items(probes)),
+                tuple(_unix_s(item[-1]) for item in crashes),
             )
-    raise FindingsError(f"no findings: {str(fields)[:100]}")
+    raise FindingsError(f"not findings: {str(fields)[:100]}")
 
 
 def _evidence(item: Any) -> Evidence:
     match item:
         case [bytes(fingerprint), str(endpoint_id), int(born_ms), str(build)]:
-            ending = Crash(EndpointId(_short(endpoint_id)), int(born_ms), _short(build))
-            return Evidence(_fingerprint(fingerprint), ending)
-    raise FindingsError(f"no evidence: {str(item)[:100]}")
+            crash = Crash(
+                EndpointId(_check_text(endpoint_id)), int(born_ms), _check_text(build)
+            )
+            return Evidence(_fingerprint(fingerprint), crash)
+    raise FindingsError(f"not evidence: {str(item)[:100]}")
 
 
-def _trial(item: Any) -> Probe:
+def _probe(item: Any) -> Probe:
     match item:
-        case [bytes(fingerprint), str(endpoint_id), int() | float() as lasts_s]:
-            if not (math.isfinite(lasts_s) and 0 <= lasts_s <= MAX_REMAINING_S):
-                raise FindingsError(f"a trial lasts 0 to {MAX_REMAINING_S:.0f} s")
-            endpoint = EndpointId(_short(endpoint_id))
-            return Probe(_fingerprint(fingerprint), endpoint, float(lasts_s))
-    raise FindingsError(f"no trial: {str(item)[:100]}")
+        case [bytes(fingerprint), str(endpoint_id), int() | float() as remaining_s]:
+            if not (math.isfinite(remaining_s) and 0 <= remaining_s <= MAX_REMAINING_S):
+                raise FindingsError(
+                    f"a probe lasts 0 to {MAX_REMAINING_S:.0f} s, found {remaining_s}"
+                )
+            endpoint = EndpointId(_check_text(endpoint_id))
+            return Probe(_fingerprint(fingerprint), endpoint, float(remaining_s))
+    raise FindingsError(f"not a probe: {str(item)[:100]}")
 
 
 def _unix_s(item: Any) -> int:
     if type(item) is not int:
-        raise FindingsError(f"no time: {str(item)[:100]}")
+        raise FindingsError(f"not a time in whole seconds: {str(item)[:100]}")
     return item
 
 
 def _fingerprint(raw: bytes) -> Fingerprint:
     if len(raw) != PREFIX_BYTES + BODY_DIGEST_BYTES:
-        raise FindingsError(
-            f"a fingerprint has {PREFIX_BYTES + BODY_DIGEST_BYTES} bytes"
-        )
+        expected = PREFIX_BYTES + BODY_DIGEST_BYTES
+        raise FindingsError(f"a fingerprint has {expected} bytes, found {len(raw)}")
     return Fingerprint(raw)
 
 
-def _short(text: str) -> str:
+def _check_text(text: str) -> str:
     if len(text) > MAX_TEXT_CHARS:
-        raise FindingsError(f"a text has at most {MAX_TEXT_CHARS} characters")
+        raise FindingsError(
+            f"a text has at most {MAX_TEXT_CHARS} characters, found {len(text)}"
+        )
     return text
 
 
-def _few(items: list[Any]) -> list[list[Any]]:
+def _check_items(items: list[Any]) -> list[list[Any]]:
     if len(items) > MAX_ITEMS:
         raise FindingsError(f"at most {MAX_ITEMS} items, found {len(items)}")
     if not all(isinstance(item, list) and item for item in items):
