--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
 """Which failures of a test run are listed in ``KNOWN-RED.txt``.
 
-Used by ``scripts/test``: ``python -m tests.known_red OUTPUT`` reads what the test
-runner printed, names each failure that is listed and each listed test that did not
-fail, and prints last how many failures are listed.
+Used by ``scripts/test``: ``python -m tests.known_red OUTPUT`` reads the output of the
+test runner and prints each listed failure, each listed test that did not fail, and
+last the number of listed failures.
 """
 
 import pathlib
@@ -11,17 +11,17 @@
 
 LIST = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 _TEST = r"(tests\.[\w.]+(?::\d+)?)"
-# A row of a table prints its parameters on a line of their own before the test's id.
+# For a parametrised test, the parameters are on a separate line before the test's id.
 _FAILURE = re.compile(rf"^(?:FAIL|ERROR): \S+(?:\n[^\n]*?)? \({_TEST}", re.M)
 _ENTRY = re.compile(rf"^{_TEST}: ", re.M)
 
 
 def judge(output: str, listed: str) -> tuple[list[str], int]:
-    """Lines to print, and how many failures are listed.
+    """Lines to print, and the number of failures that are listed.
 
-    :param output: what the test runner printed.
-    :param listed: the text of the list: a line an entry, the test's id first; of a
-        table of parameters the row's number too.
+    :param output: output of the test runner.
+    :param listed: text of the list: one entry a line that starts with the test's id,
+        with the number of the parameter row for a parametrised test.
     """
     known = set(_ENTRY.findall(listed))
     failed = _FAILURE.findall(output)
@@ -34,7 +34,7 @@
 
 
 def main(path: str) -> None:
-    """Print the judgement of one run's output."""
+    """Print which failures in the output of a run are listed."""
     listed = LIST.read_text() if LIST.exists() else ""
     lines, known = judge(pathlib.Path(path).read_text(errors="replace"), listed)
     print(*lines, known, sep="\n")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Publishing a configuration against a modelled log, and following it."""
+"""Tests of publishing a configuration to a fake log, and of following it."""
 
 import asyncio
 import unittest
@@ -16,12 +16,12 @@
     "accounts": [{"account_id": "a", "key": "key-0000001"}],
 }
 V0 = config_record(_DOC, -1, 0.0)
-V0_AGAIN = {**V0, "version_of": 0}
+V0_SNAPSHOT = {**V0, "version_of": 0}
 V1 = config_record(_DOC, 0, 0.0)
 
 
-class _Log:
-    """The config stream; ``racing`` lands just before the next append."""
+class _FakeLog:
+    """A fake config stream; ``racing`` is appended just before the next append."""
 
     def __init__(self, records, racing=()):
         self.records = list(records)
@@ -43,19 +43,19 @@
 
 class ApplyTest(unittest.TestCase):
     @params(
-        # on the log, landing meanwhile, base version, applied?
+        # on the log, appended meanwhile, base version, applied?
         ([], [], None, True),
         ([V0], [], 0, True),
         ([V0, V1], [], 0, False),
-        # The version in force, written again ahead of retention, is not
-        # another operator's change.
-        ([V0, V0_AGAIN], [], 0, True),
-        ([V0], [V0_AGAIN], 0, True),
+        # A snapshot of the version in force, written before retention deletes it, is
+        # not another operator's change.
+        ([V0, V0_SNAPSHOT], [], 0, True),
+        ([V0], [V0_SNAPSHOT], 0, True),
         ([V0], [V1], 0, False),
         ([V0], [V1], None, False),
     )
-    def test_apply(self, records, racing, base, applied):
-        log = _Log(records, racing)
+    def test_apply_fails_after_another_change(self, records, racing, base, applied):
+        log = _FakeLog(records, racing)
         version, why = asyncio.run(apply_config(log, _DOC, base))
         self.assertEqual(version >= 0, applied, why)
         self.assertEqual("conflict" in why, not applied)
@@ -63,14 +63,17 @@
 
 class FollowerTest(unittest.TestCase):
     @params(
-        # records taken in order, version in force
+        # records applied in order, version in force
         ([(0, V0)], 0),
         ([(0, V0), (1, V1)], 1),
-        ([(0, V0), (1, V1), (2, V0_AGAIN)], 1),  # never reverts
-        ([(0, V0), (1, {**V1, "config": {"deployment": "d"}})], 0),  # not valid
-        ([(5, V0_AGAIN)], 0),
+        (
+            [(0, V0), (1, V1), (2, V0_SNAPSHOT)],
+            1,
+        ),  # an older version never replaces a newer one
+        ([(0, V0), (1, {**V1, "config": {"deployment": "d"}})], 0),  # invalid
+        ([(5, V0_SNAPSHOT)], 0),
     )
-    def test_version_in_force(self, records, version):
+    def test_version_in_force_is_the_newest_valid_one(self, records, version):
         follower = ConfigFollower(None)
         for offset, record in records:
             follower._apply(offset, record)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded and never blocking, and read back as a timeline."""
+"""Tests of log lines: the timeline, the objectives, and the bounded log handler."""
 
 import json
 import logging
@@ -35,14 +35,14 @@
 
 
 class TimelineTest(unittest.TestCase):
-    def test_a_request_with_what_its_process_believed(self):
+    def test_a_request_is_shown_with_the_view_of_its_process(self):
         found = [(e.process, e.name) for e in timeline(parse(LINES), "r1")]
         self.assertEqual(found, [("e1", "store_lost"), ("e1", "refused")])
 
-    def test_unknown_request(self):
+    def test_an_unknown_request_has_no_timeline(self):
         self.assertEqual(timeline(parse(LINES), "r9"), [])
 
-    def test_summary(self):
+    def test_summary_counts_outcomes(self):
         rows = [row.split(None, 1) for row in summary(parse(LINES))]
         self.assertIn(["1", "refused x"], rows)
         self.assertIn(["2", "store_lost rows"], rows)
@@ -60,14 +60,14 @@
         (Event.FAILED, {"reason": "upstream_cut"}, 0, 0, 0, 1),
         (Event.STREAM_CUT, {}, 0, 0, 0, 1),
     )
-    def test_what_counts(self, event, fields, in_time, late, refused, failed):
+    def test_outcome_is_classified(self, event, fields, in_time, late, refused, failed):
         base = {"route": "hint", "target_ms": 300, "took_ms": 900}
         lines = [_line("10:00:00,1", "e1", event, **{**base, **fields})]
         found = slo.report(parse(lines)).get("hint", slo.ClassReport())
         self.assertEqual(found, slo.ClassReport(in_time, late, refused, failed))
 
     @params((19, 1, 1.0), (90, 10, 2.0), (10, 0, 0.0))
-    def test_burn(self, in_time, late, expected):
+    def test_burn_is_relative_to_the_allowed_share(self, in_time, late, expected):
         self.assertEqual(slo.ClassReport(in_time, late).burn, expected)
 
 
@@ -83,17 +83,17 @@
         os.close(self.reader)
         os.close(self.writer)
 
-    def test_a_reader_that_stalls_stalls_nobody(self):
-        """Symptom: every request of an entry stands still.
+    def test_a_stalled_log_reader_does_not_block(self):
+        """Guards against an entry whose requests all stop.
 
-        Sequence: whoever reads the log stops reading; the pipe fills; the
-        next line blocks the event loop. Cause: a blocking write.
+        The reader of the log stops reading and the pipe fills up. A blocking write
+        of the next line would then block the event loop.
         """
         for _ in range(2_000):
             self.log.warning("x" * 500)
         self.assertLess(len(os.read(self.reader, 1 << 20)), 1 << 20)
 
-    def test_lines_are_bounded_and_warnings_kept(self):
+    def test_line_rate_is_bounded_and_warnings_are_kept(self):
         for i in range(int(LINES_BURST) * 2):
             log_event(self.log, Event.ANSWERED, i=i)
         log_event(self.log, Event.STREAM_CUT, logging.WARNING)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the list of known failures excuses, and what it does not."""
+"""Tests of the list of known failures: which failures it excuses."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 class KnownRedTest(unittest.TestCase):
     @params(
-        # the list, failures passed over
+        # the list, number of failures passed over
         ("", 0),
         ("tests.test_x.T.test_a: seed 1; seen; issue 1\n", 1),
         ("tests.test_x.T.test_b:2: x\ntests.test_y.T.test_c: x\n", 2),
@@ -36,7 +36,7 @@
         self.assertEqual(counted, known)
         self.assertEqual(sum("passed over" in line for line in lines), known)
 
-    def test_one_that_passes_is_named(self):
+    def test_a_listed_test_that_passes_is_reported(self):
         lines, known = judge("", "tests.test_x.T.test_a: x\n")
         self.assertEqual(
             lines, ["known red, but it did not fail: tests.test_x.T.test_a"]
--- a/tests/test_outside_records.py
+++ b/tests/test_outside_records.py
@@ -1,4 +1,4 @@
-"""Records and answers of other writers: decoded whole, or rejected by name."""
+"""Tests of decoding external records: valid as a whole, or rejected with the reason."""
 
 import json
 import unittest
@@ -31,7 +31,7 @@
 from celerytrack.strict import UnreadableError
 from tests.gateway_fleet import config
 
-_GOOD = {
+_VALID = {
     "service": "s",
     "address": "10.0.0.1:8080",
     "zone": "z",
@@ -45,15 +45,15 @@
 
 
 def _record(**fields: object) -> bytes:
-    return json.dumps({**_GOOD, **fields}).encode()
+    return json.dumps({**_VALID, **fields}).encode()
 
 
-def _without(field: str) -> bytes:
-    return json.dumps({k: v for k, v in _GOOD.items() if k != field}).encode()
+def _record_without(field: str) -> bytes:
+    return json.dumps({k: v for k, v in _VALID.items() if k != field}).encode()
 
 
 class RegistrationTest(unittest.TestCase):
-    def test_a_good_one(self):
+    def test_a_valid_registration_is_decoded(self):
         self.assertEqual(
             decode_registration("i-1", _record()),
             Registration(
@@ -71,14 +71,14 @@
 
     @params(
         (_record(state="sleeping"), "state"),
-        (_without("state"), "state"),
+        (_record_without("state"), "state"),
         (_record(address=8080), "address"),
         (_record(address="10.0.0.1"), "address"),
         (_record(address="10.0.0.1:99999"), "address"),
         (_record(service=["s"]), "service"),
         (_record(version=1), "version"),
         (_record(version="v" * 101), "version"),
-        (_without("service"), "service"),
+        (_record_without("service"), "service"),
         (_record(slots="64"), "slots"),
         (_record(slots=-1), "slots"),
         (_record(slots=True), "slots"),
@@ -94,15 +94,14 @@
         (b"\xff\xfe\x00", "not JSON"),
         (b"[]", "$"),
     )
-    def test_what_is_not_right_names_its_field(self, raw, named):
-        """Symptom: requests failed at an endpoint that was none; or an entry
-        never saw an endpoint leave or arrive again.
-
-        Sequence: another writer puts a record under a key of the topic: a number
-        as address, a list as service, 100,000 nested brackets. It is taken for an
-        endpoint, or the error that it raises ends the task that follows the topic.
-        Cause: values were converted or not looked at, and not every error of the
-        parser was expected.
+    def test_error_names_the_invalid_field(self, raw, named):
+        """Guards against requests that fail because their address is no endpoint's, and
+        against an entry that sees no endpoint leave or arrive any more.
+
+        Another writer's record held a number as address, a list as service or 100,000
+        nested brackets. It was taken for an endpoint, or its error ended the task that
+        follows the topic: values were coerced or not validated, and not every error of
+        the parser was caught.
         """
         with self.assertRaises(RegistrationError) as caught:
             decode_registration("i-1", raw)
@@ -118,18 +117,18 @@
         ((["i-1"], 0.1),),
         (("i-1", "0.1"),),
     )
-    def test_a_note_of_no_time_is_dropped(self, note):
-        """Symptom: an engine got no work from any entry for good.
+    def test_a_peer_message_with_an_invalid_time_is_rejected(self, message):
+        """Guards against an engine that never gets work from any entry again.
 
-        Sequence: a note says that a prompt takes infinitely long to read; what
-        waits at the engine is then infinite too, and never gets less.
-        Cause: any number was taken.
+        A peer message said that a prompt takes infinitely long to prefill. The work
+        pending at the engine then became infinite and never decreased, because any
+        number was accepted.
         """
         with self.assertRaises(PeerMessageError):
-            decode_peer_message(msgpack.packb(note))
+            decode_peer_message(msgpack.packb(message))
 
     @params(b'{"tokens": 1e999}', b'{"tokens": -5}', b'{"tokens": "5"}', b"[]")
-    def test_a_gift_is_a_count(self, raw):
+    def test_a_transfer_reply_holds_a_count(self, raw):
         with self.assertRaises(UnreadableError):
             decode_transfer_reply(raw)
         self.assertEqual(decode_transfer_reply(b'{"tokens": 5}'), TransferReply(5))
@@ -142,11 +141,11 @@
         {"X-Deadline-Ms": "nan"},
         {"X-Deadline-Ms": "-1"},
     )
-    def test_a_request_with_a_count_below_nothing_is_refused(self, headers):
-        """Symptom: an account had more tokens than were paid for.
+    def test_a_request_with_an_invalid_number_is_refused(self, headers):
+        """Guards against an account that has more tokens than were paid for.
 
-        Sequence: a request names -5 prompt tokens; they are set aside, which
-        frees five. Cause: counts were not looked at.
+        A request named -5 prompt tokens. Reserving them freed five, because counts
+        were not validated.
         """
         with self.assertRaises(RequestError):
             decode_request({"X-Attempt-Id": "r", "Host": "h", **headers})
@@ -156,7 +155,7 @@
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: (
         st.lists(inner, max_size=4)
-        | st.dictionaries(st.sampled_from([*_GOOD, "x"]), inner, max_size=9)
+        | st.dictionaries(st.sampled_from([*_VALID, "x"]), inner, max_size=9)
     ),
     max_leaves=12,
 )
@@ -164,16 +163,16 @@
 _nested = st.integers(0, 200_000).map(lambda n: b"[" * n)
 
 
-def _changed(good: dict, values: st.SearchStrategy) -> st.SearchStrategy[bytes]:
-    """A good document with some of its fields put wrong or left out."""
-    wrong = st.dictionaries(st.sampled_from(sorted(good)), values, max_size=3)
-    gone = st.sets(st.sampled_from(sorted(good)), max_size=2)
+def _corrupted(valid: dict, values: st.SearchStrategy) -> st.SearchStrategy[bytes]:
+    """A valid document with some fields replaced by ``values`` or left out."""
+    wrong = st.dictionaries(st.sampled_from(sorted(valid)), values, max_size=3)
+    missing = st.sets(st.sampled_from(sorted(valid)), max_size=2)
     return st.builds(
-        lambda w, g: json.dumps(
-            {k: v for k, v in {**good, **w}.items() if k not in g}
+        lambda w, m: json.dumps(
+            {k: v for k, v in {**valid, **w}.items() if k not in m}
         ).encode(),
         wrong,
-        gone,
+        missing,
     )
 
 
@@ -198,37 +197,39 @@
 
 
 class FuzzTest(unittest.TestCase):
-    """No input of any writer raises anything but the decoder's own error: what
-    else is raised would end the task that follows a topic."""
+    """No input may raise anything but the decoder's own error: any other exception
+    would end the task that follows a topic."""
 
-    def _only_raises(self, decode, error, raw, value):
+    def _assert_only_raises(self, decode, error, raw, value):
         try:
-            got = decode(raw)
+            decoded = decode(raw)
         except error:
             return
-        self.assertIsInstance(got, value)
+        self.assertIsInstance(decoded, value)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
-    @given(_anything | _json.map(json.dumps).map(str.encode) | _changed(_GOOD, _json))
+    @given(
+        _anything | _json.map(json.dumps).map(str.encode) | _corrupted(_VALID, _json)
+    )
     def test_registrations(self, raw):
-        self._only_raises(
+        self._assert_only_raises(
             lambda r: decode_registration("i", r), RegistrationError, raw, Registration
         )
 
     @settings(max_examples=300, deadline=None, derandomize=True)
-    @given(_anything | _changed(_config, _json))
+    @given(_anything | _corrupted(_config, _json))
     def test_configurations(self, raw):
-        self._only_raises(decode_config, ConfigError, raw, RoutingTable)
+        self._assert_only_raises(decode_config, ConfigError, raw, RoutingTable)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(_anything | _row(_packable) | _packable.map(msgpack.packb))
     def test_rows(self, raw):
-        self._only_raises(lambda r: decode_member("e", r), RowError, raw, Member)
+        self._assert_only_raises(lambda r: decode_member("e", r), RowError, raw, Member)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _packable.map(msgpack.packb))
-    def test_notes(self, raw):
-        self._only_raises(
+    def test_peer_messages(self, raw):
+        self._assert_only_raises(
             decode_peer_message,
             PeerMessageError,
             raw,
@@ -237,14 +238,14 @@
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _json.map(json.dumps).map(str.encode))
-    def test_gifts(self, raw):
+    def test_transfers(self, raw):
         for decode in (decode_transfer_reply, decode_transfer_request):
-            self._only_raises(decode, UnreadableError, raw, object)
+            self._assert_only_raises(decode, UnreadableError, raw, object)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(_anything)
     def test_batches_of_the_store(self, raw):
-        self._only_raises(
+        self._assert_only_raises(
             lambda r: log_format.decode_batch(0, r),
             UnreadableError,
             raw,
@@ -254,16 +255,18 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(_anything | _json.map(json.dumps).map(str.encode))
     def test_pages_and_answers_of_the_store(self, raw):
-        self._only_raises(log_format.decode_page, UnreadableError, raw, log_format.Page)
-        self._only_raises(log_format.decode_appended, UnreadableError, raw, int)
+        self._assert_only_raises(
+            log_format.decode_page, UnreadableError, raw, log_format.Page
+        )
+        self._assert_only_raises(log_format.decode_appended, UnreadableError, raw, int)
 
 
 class KeyTest(unittest.TestCase):
-    def test_a_key_that_is_no_text_hides_no_later_record(self):
-        """Symptom: an entry saw no change of the registrations any more.
+    def test_a_key_that_is_not_utf8_does_not_hide_later_records(self):
+        """Guards against an entry that sees no further change of the registrations.
 
-        Sequence: a record's key is not UTF-8; decoding the batch raises, and the
-        task that follows the topic ends. Cause: keys were taken for text.
+        The key of a record was not UTF-8. Decoding the batch raised, because keys were
+        assumed to be text, and the task that follows the topic ended.
         """
         good = log_format.encode_keyed("i-1", b"{}")
         bad = good.replace(b"i-1", b"\xff-1")
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Table tests of routing and retry decisions."""
+"""Table-driven tests of routing and retry decisions."""
 
 import random
 import unittest
@@ -23,9 +23,9 @@
     return load
 
 
-def _choose(replicas, priority=0, blocks=(), now_s=1.0, policy="predicted"):
-    got = make_chooser(policy)(replicas, Ask("m", priority, blocks), Z1, now_s)
-    return got.replica_id if got else None
+def _choose_id(replicas, priority=0, blocks=(), now_s=1.0, policy="predicted"):
+    replica = make_chooser(policy)(replicas, Ask("m", priority, blocks), Z1, now_s)
+    return replica.replica_id if replica else None
 
 
 class RendezvousTest(unittest.TestCase):
@@ -40,46 +40,50 @@
 
 class ChoiceTest(unittest.TestCase):
     @params(
-        # replicas, priority, expected (None = refuse)
+        # replicas, priority, expected (None: refused)
         ([_replica("a", leaving=True)], 0, None),
         ([_replica("a", running=10)], 0, None),
-        ([_replica("a", running=8)], 2, None),  # low priority shed first
+        ([_replica("a", running=8)], 2, None),  # low priority is shed first
         ([_replica("a", running=8)], 0, "a"),
         ([_replica("a", running=5), _replica("b", running=0)], 0, "b"),
         ([_replica("a", Z2), _replica("b", Z1)], 0, "b"),  # same zone
-        # Few sequences, but a long prompt is still being read in there.
+        # Few sequences, but a long prompt is pending prefill.
         (
             [_replica("a", running=1, prefill_tokens=9000), _replica("b", running=3)],
             0,
             "b",
         ),
-        # Its reports look well, its answers have been slow or failed.
+        # Its reports look healthy, but its answers have been slow or failed.
         ([_replica("a", running=1, slowness=6.0), _replica("b", running=3)], 0, "b"),
     )
     def test_choice(self, replicas, priority, expected):
-        self.assertEqual(_choose(replicas, priority), expected)
+        self.assertEqual(_choose_id(replicas, priority), expected)
 
-    def test_lagging_report_is_corrected_by_own_sends(self):
+    def test_lagging_report_is_corrected_by_own_requests(self):
         a, b = _replica("a"), _replica("b")
         for _ in range(3):
             a.begin_attempt(Ask("m", 0), 0.1, 2.0)
-        self.assertEqual(_choose([a, b], now_s=2.0), "b")
+        self.assertEqual(_choose_id([a, b], now_s=2.0), "b")
 
     @params(
-        # reported at 3.0, sent at and ended at (None: still running), estimate
+        # running as reported at 3.0, when each request was sent and finished (None:
+        # it still runs), estimate
         (0, [], 0),
         (5, [], 5),
-        (5, [(2.0, None)] * 3, 5),  # ours are among the five
-        (5, [(2.0, 4.0)] * 3, 2),  # ours ended since
+        (5, [(2.0, None)] * 3, 5),  # our requests are among the five
+        (5, [(2.0, 4.0)] * 3, 2),  # our requests finished since
         (5, [(4.0, None)] * 3, 8),  # sent since
-        (5, [(4.0, 4.5)] * 20, 5),  # sent and ended since
+        (5, [(4.0, 4.5)] * 20, 5),  # sent and finished since
         (0, [(2.0, None)], 1),
     )
     def test_own_requests_are_not_counted_twice(self, reported, sent, expected):
-        """Symptom: a replica with room is taken for full and callers are
-        refused (seen: 44 of 60 hints done where one healthy engine carried
-        all). Sequence: 20 requests are sent to it and end between two load
-        reports. Cause: everything sent since the report added to it."""
+        """Guards against callers refused although a replica has capacity.
+
+        20 requests were sent to a replica and finished between two of its load
+        reports. All requests sent since the report were added to it, so the replica
+        counted as full: one healthy engine that served all requests completed 44 of
+        60 hints.
+        """
         a = _replica("a")
         events = [(at, i, None) for i, (at, _) in enumerate(sent)]
         events += [(end, i, "end") for i, (_, end) in enumerate(sent) if end]
@@ -93,25 +97,25 @@
         self.assertEqual(a.load(5.0).running, expected)
 
     @params(
-        # a peer's load, heard ago, the replica's load
+        # a peer's load, its age in s, the replica's load
         (Load(4, 900), 0.2, Load(5, 900)),
-        (Load(0, 0), 0.2, Load(1, 0)),  # a fresh word beats the lagging report
-        (Load(4, 900), 5.0, Load(8, 300)),  # no fresh word: the report
+        (Load(0, 0), 0.2, Load(1, 0)),  # fresh peer load replaces the lagging report
+        (Load(4, 900), 5.0, Load(8, 300)),  # no fresh peer load: the report
     )
-    def test_peers_tell_what_reports_cannot(self, peer_load, ago_s, expected):
+    def test_fresh_peer_load_replaces_the_report(self, peer_load, age_s, expected):
         a = _replica("a", running=7, prefill_tokens=300)
         a.begin_attempt(Ask("m", 0), 0.1, 10.0)
-        a.record_peer_load(EntryId("e2"), peer_load, 10.0 - ago_s)
+        a.record_peer_load(EntryId("e2"), peer_load, 10.0 - age_s)
         self.assertEqual(a.load(10.0), expected)
 
     @params((0, "b"), (30_000, "a"))
-    def test_cached_prefix_draws_until_its_replica_is_busy(self, backlog, expected):
+    def test_cached_prefix_wins_until_its_replica_is_busy(self, backlog, expected):
         a = _replica("a")
         b = _replica("b", prefill_tokens=backlog)
         b.cache.touch(PROMPT)
-        self.assertEqual(_choose([a, b], blocks=PROMPT), expected)
+        self.assertEqual(_choose_id([a, b], blocks=PROMPT), expected)
 
-    def test_a_prompt_counts_until_its_first_token(self):
+    def test_a_prompt_is_pending_until_its_first_token(self):
         a = _replica("a")
         attempt = a.begin_attempt(Ask("m", 0, PROMPT), 0.1, 1.0)
         self.assertGreater(a.own.prefill_tokens, 0)
@@ -120,7 +124,7 @@
         attempt.finish(1.5)
         self.assertEqual(a.own, Load(0, 0))
 
-    def test_slowness_is_learned_and_unlearned(self):
+    def test_slowness_follows_the_measured_times(self):
         a = _replica("a")
         for took_s, low, high in ((0.5, 4.0, 6.0), (0.1, 0.9, 1.1)):
             for _ in range(60):
@@ -130,19 +134,23 @@
             self.assertTrue(low < a.slowness < high, a.slowness)
 
     def test_a_failing_replica_is_ejected_longer_each_time(self):
-        """Symptom: most requests fail while healthy replicas have room.
-        Sequence: a replica refuses at once, so it always looks idle and is
-        chosen again and again. Cause: load alone decides the choice."""
+        """Guards against most requests failing while healthy replicas have capacity.
+
+        A replica that refuses at once always looks idle. If load alone decided, it
+        would be chosen again and again.
+        """
         a, b = _replica("a"), _replica("b", running=5)
-        for now_s, failed_for_s in ((10.0, 0.5), (20.0, 2.0), (30.0, 8.0)):
+        for now_s, ejected_for_s in ((10.0, 0.5), (20.0, 2.0), (30.0, 8.0)):
             a.record_failure(now_s)
-            self.assertEqual(_choose([a, b], now_s=now_s + failed_for_s - 0.01), "b")
-            self.assertEqual(_choose([a, b], now_s=now_s + failed_for_s), "a")
-        self.assertEqual(_choose([a], now_s=30.1), "a")  # better than nothing
-        a.begin_attempt(Ask("m", 0), 0.1, 40.0)  # on trial with one request
-        self.assertEqual(_choose([a, b], now_s=40.0), "b")
+            self.assertEqual(
+                _choose_id([a, b], now_s=now_s + ejected_for_s - 0.01), "b"
+            )
+            self.assertEqual(_choose_id([a, b], now_s=now_s + ejected_for_s), "a")
+        self.assertEqual(_choose_id([a], now_s=30.1), "a")  # the only replica
+        a.begin_attempt(Ask("m", 0), 0.1, 40.0)  # half-open: one request at a time
+        self.assertEqual(_choose_id([a, b], now_s=40.0), "b")
         a.record_success()
-        self.assertEqual(_choose([a, b], now_s=30.1), "a")
+        self.assertEqual(_choose_id([a, b], now_s=30.1), "a")
 
     @params(
         ("round_robin", ["a", "b", "c", "a", "b", "c"]),
@@ -151,8 +159,8 @@
     def test_baselines(self, policy, expected):
         choose = make_chooser(policy)
         replicas = [_replica(n) for n in "abc"]
-        got = [choose(replicas, Ask("m", 0), Z1, 1.0).replica_id for _ in range(6)]
-        self.assertEqual(got, expected)
+        chosen = [choose(replicas, Ask("m", 0), Z1, 1.0).replica_id for _ in range(6)]
+        self.assertEqual(chosen, expected)
 
 
 class PrefixTest(unittest.TestCase):
@@ -166,7 +174,7 @@
         index = PrefixIndex(capacity_blocks=4)
         index.touch([0, 1, 2, 3])
         self.assertEqual(index.cached_blocks([0, 1, 2, 9, 9]), 3)
-        index.touch([7])  # the end of the older prompt gives way
+        index.touch([7])  # evicts the end of the older prompt
         self.assertEqual(len(index), 4)
         self.assertEqual(index.cached_blocks([0, 1, 2, 3]), 3)
         index.drop(7)
@@ -183,9 +191,11 @@
         self.assertEqual(may_retry(refusal, idempotent), expected)
 
     def test_an_outage_adds_at_most_a_fifth(self):
-        """Symptom: an overload outlasts its cause. Sequence: every request
-        of 1,000 fails and is tried again as long as that is allowed. Cause:
-        retries that are not tied to the requests that came in."""
+        """Guards against an overload that retries prolong beyond its cause.
+
+        Each of 1,000 requests fails and is retried as long as allowed. Without a
+        limit relative to incoming requests, the retries multiply the load.
+        """
         budget = RetryBudget()
         retries = 0
         for _ in range(1000):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked on load, with the field path in the error."""
+"""Tests of the validation of settings; errors name the field path."""
 
 import pathlib
 import tempfile
@@ -50,12 +50,11 @@
         ("model", 7, "text, found 7"),
         ("name", None, "text, found null"),
     )
-    def test_nothing_is_converted(self, field, value, expected):
-        """Symptom: a class declared with ``"idempotent": []`` was accepted, and
-        its calls ran once at most; ``"2"`` was taken for a number.
+    def test_values_are_not_coerced(self, field, value, expected):
+        """Guards against mistyped values that take effect as something else.
 
-        Sequence: an operator mistypes a value; ``validate`` says it is valid;
-        it is in force as something else. Cause: values were converted.
+        A class declared with ``"idempotent": []`` passed ``validate``, and its
+        calls ran at most once; ``"2"`` was accepted as a number. Both were coerced.
         """
         doc = {"deployment": "d", "classes": [{**_CLASS, field: value}], "accounts": []}
         with self.assertRaises(SettingsError) as caught:
@@ -64,16 +63,16 @@
         self.assertIn(f"$.classes[0].{field}", str(caught.exception))
 
     @params((30.0, 33.0), (5.0, 6.0), (40.0, 40.0))
-    def test_a_grace_time_that_the_drain_uses_up_is_named(self, drain_s, stop_s):
-        """Guards against a stop that is killed with requests in progress."""
+    def test_stop_grace_must_exceed_the_drain_grace(self, drain_s, stop_s):
+        """Guards against a process that is killed with requests in progress."""
         doc = {"drain_grace_s": drain_s, "stop_grace_s": stop_s}
         with self.assertRaises(SettingsError) as caught:
             structure(doc, EntryTuning)
         self.assertIn(f"{drain_s + 4.0} at least: {stop_s}", str(caught.exception))
 
     @params(b"node = \xff", b"node = ", b"\x00")
-    def test_a_file_that_cannot_be_read_is_named(self, raw):
-        """Guards against a reload that ends in a traceback and names no file."""
+    def test_error_names_an_unreadable_file(self, raw):
+        """Guards against a reload that fails with a traceback and names no file."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "boot.toml"
             path.write_bytes(raw)
@@ -81,14 +80,14 @@
                 load_settings(path)
         self.assertIn("boot.toml", str(caught.exception))
 
-    def test_a_short_key_is_named(self):
+    def test_a_short_key_is_rejected(self):
         account = {"account_id": "a", "key": "12"}
         doc = {"deployment": "d", "classes": [], "accounts": [account]}
         with self.assertRaises(SettingsError) as caught:
             structure(doc, Config)
         self.assertIn("key must have 8 characters or more: 2", str(caught.exception))
 
-    def test_duplicate_accounts_are_refused(self):
+    def test_duplicate_accounts_are_rejected(self):
         account = {"account_id": "a", "key": "12345678"}
         doc = {"deployment": "d", "classes": [], "accounts": [account, account]}
         with self.assertRaises(SettingsError):
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Table tests of the relay of an engine's event stream."""
+"""Table-driven tests of the relay of an engine's event stream."""
 
 import unittest
 
@@ -29,29 +29,35 @@
         self.assertEqual((relay.tokens, relay.complete), (2, True))
 
     @params(
-        # fed, passed on, tokens
+        # fed, relayed (None: all of it), tokens
         (_event("r2", "x") + _event("r1", "a"), _event("r1", "a"), 1),
         (b"garbage\n\n" + _event("r1", "a"), _event("r1", "a"), 1),
         (b"data: {broken\n\n", b"", 0),
-        (_event("r1", "a") + _event("r1", "b"), None, 2),  # no usage: one each
+        (
+            _event("r1", "a") + _event("r1", "b"),
+            None,
+            2,
+        ),  # no usage: one token per event
         (_event("r1", "abc", 7), None, 7),  # several tokens in one event
-        # Another request's id quoted in our text does not make it theirs.
+        # An id quoted in the generated text does not count as the event's id.
         (_event("r1", 'data: {"id": "r1"'), None, 1),
     )
-    def test_only_own_events_pass(self, fed, passed, tokens):
+    def test_only_own_events_are_relayed(self, fed, relayed, tokens):
         relay = AnswerRelay(RequestId("r1"))
-        self.assertEqual(relay.feed(fed), fed if passed is None else passed)
+        self.assertEqual(relay.feed(fed), fed if relayed is None else relayed)
         self.assertEqual(relay.tokens, tokens)
 
-    def test_bytes_after_the_end_are_dropped(self):
-        """Symptom: a caller finds tokens behind its whole answer. Sequence:
-        the engine ends our stream, then late bytes of another follow on the
-        same connection. Cause: relaying until the connection closes."""
+    def test_bytes_after_the_done_event_are_dropped(self):
+        """Guards against tokens that reach a caller after its complete answer.
+
+        The engine ended the stream, and late bytes of another stream followed on
+        the same connection, which was relayed until it closed.
+        """
         relay = AnswerRelay(RequestId("r1"))
         relay.feed(OURS)
         self.assertEqual(relay.feed(_event("r1", "late")), b"")
 
-    def test_a_cut_event_comes_again_whole(self):
+    def test_an_event_that_was_cut_off_is_relayed_whole(self):
         relay = AnswerRelay(RequestId("r1"))
         first, second = _event("r1", "a", 1), _event("r1", "b", 2)
         out = relay.feed(first + second[:10])
@@ -59,8 +65,8 @@
         out += relay.feed(second + DONE_EVENT)
         self.assertEqual(out, first + second)
 
-    def test_a_count_never_falls(self):
-        """An engine that counts from anew sends the answer back to its start."""
+    def test_the_token_count_never_decreases(self):
+        """An engine that restarts its count would send the answer back to its start."""
         relay = AnswerRelay(RequestId("r1"))
         relay.feed(_event("r1", "abc", 7))
         relay.resume()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client on a slow link."""
+"""Tests of the store's client on a slow link."""
 
 import unittest
 
@@ -11,18 +11,16 @@
 
 
 class BacklogTest(unittest.IsolatedAsyncioTestCase):
-    """Symptom: on a fleet of 76 entries a request reached an endpoint 3.5 s after
-    its registration was gone; entries that had been cut off never read the rows
-    of the others again.
-
-    Sequence: an entry on a link of 10 Mbit/s is cut off for 8 s, in which the
-    others write 2 MB of rows. It asks for them; the answer, 1 MB, takes 0.84 s, the
-    call is given up after 0.7 s, and it asks again, for ever. Meanwhile its reads of
-    the registrations time out on the same link.
-    Cause: how much one answer holds was left to the store.
+    """Guards against a backlog of rows that an entry can never read.
+
+    In a fleet of 76 entries, an entry on a link of 10 Mbit/s was partitioned for 8 s,
+    while the others wrote 2 MB of rows. The store chose the size of the answer: 1 MB,
+    which takes 0.84 s. The call timed out after 0.7 s and was repeated for ever. The
+    reads of the registrations timed out on the same link, so a request reached an
+    endpoint 3.5 s after its registration was deleted.
     """
 
-    async def test_it_is_read_in_answers_that_arrive_in_time(self):
+    async def test_a_backlog_is_read_in_answers_that_arrive_in_time(self):
         log = KeyedLog()
         log.link.bytes_per_s = 10e6 / 8
         for i in range(1_000):
