--- a/tests/keyed_log.py
+++ b/tests/keyed_log.py
@@ -1,6 +1,6 @@
-"""A stand-in of the platform's log: keyed topics over HTTP, with faults.
+"""A stand-in for the platform's log: keyed topics over HTTP, with faults.
 
-It may come back from an older copy of itself: its answers then carry a higher era.
+It can be restored from an older backup; its answers then carry a higher era.
 """
 
 import asyncio
@@ -15,13 +15,13 @@
 
 ERA_HEADER = "Store-Era"
 _LENGTH = struct.Struct(">I")
-_ENDS = struct.Struct(">QQ")
-_PIECE_BYTES = 16_384
+_BATCH_HEADER = struct.Struct(">QQ")
+_CHUNK_BYTES = 16_384
 
 
 @attrs.define
 class Topic:
-    """One keyed topic: all records, and each producer's epoch and number."""
+    """One keyed topic: all records, and each producer's epoch and sequence number."""
 
     records: list[tuple[str, bytes]] = attrs.field(factory=list)
     first: int = 0
@@ -29,42 +29,42 @@
     answers: dict[tuple[str, int, int], int] = attrs.field(factory=dict)
 
     def newest(self) -> dict[str, tuple[int, bytes]]:
-        """The newest record of each key that was not dropped."""
+        """The newest record of each key that was not deleted."""
         newest = {key: (i, value) for i, (key, value) in enumerate(self.records)}
         return {key: item for key, item in newest.items() if item[1]}
 
 
 class Link:
-    """An entry's link: the answers on their way share it, a piece at a time.
+    """An entry's network link, which the answers in flight share chunk by chunk.
 
-    :ivar bytes_per_s: how fast they arrive; 0 for at once.
-    :ivar carried_bytes: what it carried in all.
+    :ivar bytes_per_s: bandwidth; 0 for unlimited.
+    :ivar carried_bytes: total of the bytes sent.
     """
 
     def __init__(self) -> None:
         self.bytes_per_s = 0.0
         self.carried_bytes = 0
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def send(self, request: web.Request, body: bytes) -> web.StreamResponse:
-        """Answer ``request`` with ``body``, at the pace of the link."""
+        """Answer ``request`` with ``body`` at the bandwidth of the link."""
         response = web.StreamResponse()
         response.content_length = len(body)
         try:
             await response.prepare(request)
         except ConnectionResetError:
             return response
-        for start in range(0, len(body), _PIECE_BYTES):
-            piece = body[start : start + _PIECE_BYTES]
-            async with self._turn:
+        for start in range(0, len(body), _CHUNK_BYTES):
+            chunk = body[start : start + _CHUNK_BYTES]
+            async with self._lock:
                 if self.bytes_per_s:
-                    await asyncio.sleep(len(piece) / self.bytes_per_s)
+                    await asyncio.sleep(len(chunk) / self.bytes_per_s)
             try:
-                await response.write(piece)
+                await response.write(chunk)
             except ConnectionResetError:
-                # The caller gave up: what is on its way is lost with it.
+                # The caller closed the connection; the rest of the answer is lost.
                 return response
-            self.carried_bytes += len(piece)
+            self.carried_bytes += len(chunk)
         return response
 
 
@@ -72,13 +72,13 @@
     """The stand-in's state and faults.
 
     :ivar down: every call is refused.
-    :ivar refused: topics of which every call is refused.
+    :ivar refused: topics whose calls are all refused.
     :ivar unresponsive: no call is answered.
     :ivar hang_held_reads: reads that are held when it is set are never answered.
-    :ivar lose_answers: appends take effect and are not answered.
-    :ivar link: over which answers to reads arrive.
-    :ivar era: rises by one each time the log comes back from an older copy.
-    :ivar era_text: what its answers say of the era; ``None`` leaves it out.
+    :ivar lose_answers: appends take effect, but are not answered.
+    :ivar link: carries the answers to reads.
+    :ivar era: increases by one each time the log is restored from an older backup.
+    :ivar era_text: header value for the era; ``None`` omits the header.
     """
 
     def __init__(self) -> None:
@@ -92,17 +92,17 @@
         self.lose_answers = False
         self.link = Link()
         self.appends = 0
-        # By topic and key, whatever became of the log.
-        self._platform_wrote: dict[tuple[str, str], bytes] = {}
+        # By topic and key; kept when the log is restored.
+        self._platform_records: dict[tuple[str, str], bytes] = {}
         self._changed = asyncio.Event()
 
     def topic(self, name: str) -> Topic:
-        """The topic ``name``, made on first use."""
+        """The topic ``name``, created on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, name: str, key: str, value: bytes) -> None:
-        """Write as the platform itself does."""
-        self._platform_wrote[name, key] = value
+        """Write a record as the platform itself does."""
+        self._platform_records[name, key] = value
         self._put(name, key, value)
 
     def _put(self, name: str, key: str, value: bytes) -> None:
@@ -114,16 +114,19 @@
         self._changed = asyncio.Event()
 
     def compact(self, name: str) -> None:
-        """Drop all records; the newest of each key is kept."""
+        """Delete all records except the newest of each key."""
         self.topic(name).first = len(self.topic(name).records)
 
     def copy(self) -> Mapping[str, Topic]:
-        """A copy of all topics, to come back from later."""
+        """Take a backup of all topics for :meth:`restore`."""
         return copy.deepcopy(self.topics)
 
     def restore(self, older: Mapping[str, Topic]) -> None:
-        """Come back from ``older`` at once: records, producers' epochs and numbers are
-        what they were, offsets are given out again, and the era rises."""
+        """Restore the backup ``older`` at once.
+
+        Records and the producers' epochs and sequence numbers are as they were then,
+        offsets are assigned again, and the era increases.
+        """
         self.topics = copy.deepcopy(dict(older))
         self.era += 1
         self._wake_readers()
@@ -134,8 +137,8 @@
         away_s: float = 0.0,
         written_again_s: float = 0.0,
     ) -> None:
-        """Refuse every call for ``away_s``, come back from ``older``, and have what
-        the platform wrote since written again ``written_again_s`` later."""
+        """Refuse every call for ``away_s`` and restore ``older``; ``written_again_s``
+        later the platform writes again what the log has lost of its records."""
         self.down = True
         self._wake_readers()
         await asyncio.sleep(away_s)
@@ -145,13 +148,13 @@
         self.republish()
 
     def republish(self) -> None:
-        """What the platform wrote is written again where the log has it no more."""
-        for (name, key), value in self._platform_wrote.items():
+        """Write the platform's records again that the log has lost."""
+        for (name, key), value in self._platform_records.items():
             newest = dict(self.topic(name).records)
             if newest.get(key, b"") != value:
                 self._put(name, key, value)
 
-    async def _add_era(self, _: web.Request, answer: web.StreamResponse) -> None:
+    async def _add_era_header(self, _: web.Request, answer: web.StreamResponse) -> None:
         text = self.era_text(self.era)
         if text is not None:
             answer.headers[ERA_HEADER] = text
@@ -159,13 +162,13 @@
     def make_app(self) -> web.Application:
         """The HTTP application."""
         app = web.Application()
-        app.on_response_prepare.append(self._add_era)
+        app.on_response_prepare.append(self._add_era_header)
         app.router.add_post("/log-append", self._append)
         app.router.add_get("/log-read", self._read)
         app.router.add_get("/log-newest", self._newest)
         return app
 
-    async def _answering(self) -> None:
+    async def _wait_until_responsive(self) -> None:
         while self.unresponsive:
             await asyncio.sleep(0.05)
 
@@ -173,42 +176,42 @@
         return self.down or request.query["topic"] in self.refused
 
     async def _append(self, request: web.Request) -> web.Response:
-        await self._answering()
+        await self._wait_until_responsive()
         if self._refuses(request):
             return web.Response(status=503)
         topic = self.topic(request.query["topic"])
         name = request.query["producer"]
-        epoch, number = int(request.query["epoch"]), int(request.query["sequence"])
+        epoch, sequence = int(request.query["epoch"]), int(request.query["sequence"])
         body = await request.read()
-        known_epoch, known_number = topic.producers.get(name, (-1, -1))
-        repeat = topic.answers.get((name, epoch, number))
+        known_epoch, known_sequence = topic.producers.get(name, (-1, -1))
+        repeat = topic.answers.get((name, epoch, sequence))
         if epoch < known_epoch:
             return web.json_response({"reason": "fenced"}, status=409)
         if body and repeat is not None:
             return web.json_response({"offset": repeat, "end": len(topic.records)})
-        if epoch == known_epoch and body and number != known_number + 1:
-            expected = {"reason": "seq", "sequence": known_number + 1}
+        if epoch == known_epoch and body and sequence != known_sequence + 1:
+            expected = {"reason": "seq", "sequence": known_sequence + 1}
             return web.json_response(expected, status=409)
-        topic.producers[name] = (epoch, number if body else number - 1)
+        topic.producers[name] = (epoch, sequence if body else sequence - 1)
         offset = len(topic.records)
         for key, value in _decode(body):
             self._put(request.query["topic"], key, value)
         if body:
-            topic.answers[name, epoch, number] = offset
+            topic.answers[name, epoch, sequence] = offset
             self.appends += 1
         if self.lose_answers and request.transport is not None:
             request.transport.close()
         return web.json_response({"offset": offset, "end": len(topic.records)})
 
     async def _read(self, request: web.Request) -> web.StreamResponse:
-        await self._answering()
+        await self._wait_until_responsive()
         if self._refuses(request):
             return web.Response(status=503)
         name = request.query["topic"]
         start = int(request.query["from"])
         wait_s = int(request.query.get("waitMs", 0)) / 1_000
         if start == len(self.topic(name).records) and wait_s:
-            await self._wait(name, start, wait_s)
+            await self._hold_read(name, start, wait_s)
             if self.hang_held_reads:
                 await asyncio.sleep(60)
             if self._refuses(request):
@@ -216,17 +219,17 @@
         topic = self.topic(name)
         if not topic.first <= start <= len(topic.records):
             return web.json_response({"first": topic.first}, status=410)
-        most = int(request.query.get("maxKb", 1_024)) * 1_024
-        body = _ENDS.pack(len(topic.records), topic.first)
+        max_bytes = int(request.query.get("maxKb", 1_024)) * 1_024
+        body = _BATCH_HEADER.pack(len(topic.records), topic.first)
         for key, value in topic.records[start:]:
             content = bytes([len(key)]) + key.encode() + value
-            if len(body) > _ENDS.size and len(body) + len(content) > most:
+            if len(body) > _BATCH_HEADER.size and len(body) + len(content) > max_bytes:
                 break
             body += _LENGTH.pack(len(content)) + content
         return await self.link.send(request, body)
 
-    async def _wait(self, name: str, start: int, wait_s: float) -> None:
-        """Hold a read until there is a record at ``start``, or none can come."""
+    async def _hold_read(self, name: str, start: int, wait_s: float) -> None:
+        """Hold a read until there is a record at ``start``, or the log is down."""
         try:
             async with asyncio.timeout(wait_s):
                 while start == len(self.topic(name).records) and not self.down:
@@ -235,7 +238,7 @@
             return
 
     async def _newest(self, request: web.Request) -> web.StreamResponse:
-        await self._answering()
+        await self._wait_until_responsive()
         if self._refuses(request):
             return web.Response(status=503)
         topic = self.topic(request.query["topic"])
--- a/tests/test_keyed_log.py
+++ b/tests/test_keyed_log.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's log: what it is after it came back from a copy."""
+"""Tests of the stand-in for the platform's log, restored from an older backup."""
 
 import asyncio
 import contextlib
@@ -25,8 +25,8 @@
         self._http = http
 
     async def read(self, offset: int, **query: str) -> aiohttp.ClientResponse:
-        wanted = {**PART, "from": str(offset), **query}
-        return await self._http.get("/log-read", params=wanted)
+        query_params = {**PART, "from": str(offset), **query}
+        return await self._http.get("/log-read", params=query_params)
 
     async def newest(self) -> aiohttp.ClientResponse:
         return await self._http.get("/log-newest", params=PART)
@@ -39,7 +39,7 @@
 
 
 @contextlib.asynccontextmanager
-async def called(log: KeyedLog) -> AsyncIterator[Caller]:
+async def serve(log: KeyedLog) -> AsyncIterator[Caller]:
     runner = web.AppRunner(log.make_app(), shutdown_timeout=0.1)
     await runner.setup()
     port = free_port()
@@ -52,9 +52,9 @@
 
 
 class RestoredLogTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_came_after_the_copy_is_gone(self):
+    async def test_writes_after_the_backup_are_lost(self):
         log = KeyedLog()
-        async with called(log) as caller:
+        async with serve(log) as caller:
             await caller.append(1, 0)
             older = log.copy()
             await caller.append(1, 1)
@@ -62,7 +62,7 @@
             log.restore(older)
             gone = await caller.read(2)
             self.assertEqual((gone.status, await gone.json()), (410, {"first": 0}))
-            # The epoch and the numbers of the producer are gone with the records.
+            # The producer's epoch and sequence numbers are lost with the records.
             repeat = await caller.append(1, 0)
             self.assertEqual(await repeat.json(), {"offset": 0, "end": 1})
             again = await caller.append(1, 1)
@@ -71,9 +71,9 @@
             self.assertEqual(ahead.status, 409)
             self.assertEqual(await ahead.json(), {"reason": "seq", "sequence": 2})
 
-    async def test_a_copy_stays_what_it_was(self):
+    async def test_a_backup_does_not_change(self):
         log = KeyedLog()
-        async with called(log) as caller:
+        async with serve(log) as caller:
             older = log.copy()
             await caller.append(1, 0)
             log.restore(older)
@@ -82,9 +82,9 @@
         self.assertEqual(log.topic(TOPIC).records, [])
         self.assertEqual(log.era, 3)
 
-    async def test_a_held_read_ends_when_its_offset_is_gone(self):
+    async def test_a_held_read_ends_when_its_offset_is_lost(self):
         log = KeyedLog()
-        async with called(log) as caller:
+        async with serve(log) as caller:
             older = log.copy()
             await caller.append(1, 0)
             held = asyncio.create_task(caller.read(1, waitMs="5000"))
@@ -92,14 +92,14 @@
             log.restore(older)
             self.assertEqual((await asyncio.wait_for(held, 1.0)).status, 410)
 
-    async def test_it_is_away_and_then_the_platform_writes_again(self):
+    async def test_it_is_unavailable_and_then_the_platform_writes_again(self):
         log = KeyedLog()
         log.put(CONFIG_TOPIC, CONFIG_KEY, b"1")
         log.put(CONFIG_TOPIC, "old", b"x")
         older = log.copy()
         log.put(CONFIG_TOPIC, CONFIG_KEY, b"2")
         log.put(CONFIG_TOPIC, "old", b"")
-        async with called(log) as caller:
+        async with serve(log) as caller:
             back = asyncio.create_task(log.restore_after(older, 0.1, 0.2))
             await asyncio.sleep(0.05)
             self.assertEqual((await caller.read(0)).status, 503)
@@ -113,14 +113,14 @@
 
 class EraTest(unittest.TestCase):
     @params((str, "2"), (lambda era: None, None), (lambda era: "x", "x"))
-    def test_all_answers_say_the_era(self, text, said):
-        asyncio.run(self._say_the_era(text, said))
+    def test_all_answers_carry_the_era(self, text, expected):
+        asyncio.run(self._check_era_headers(text, expected))
 
-    async def _say_the_era(self, text, said):
+    async def _check_era_headers(self, text, expected):
         log = KeyedLog()
         log.era_text = text
         log.restore(log.copy())
-        async with called(log) as caller:
+        async with serve(log) as caller:
             answers = [
                 await caller.append(3, 0),
                 await caller.append(2, 0),
@@ -132,7 +132,7 @@
             answers.append(await caller.read(0))
         statuses = [answer.status for answer in answers]
         self.assertEqual(statuses, [200, 409, 200, 410, 200, 503])
-        self.assertEqual({a.headers.get(ERA_HEADER) for a in answers}, {said})
+        self.assertEqual({a.headers.get(ERA_HEADER) for a in answers}, {expected})
 
 
 if __name__ == "__main__":
