--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -19,7 +19,7 @@
 from celerytrack.ids import EntryId
 from celerytrack.platform.store import StoreClient, StoreError, Writer
 from celerytrack.platform.suspect_records import (
-    MOST_ITEMS,
+    MAX_ITEMS,
     FindingsError,
     decode_findings,
     encode_findings,
@@ -82,7 +82,7 @@
             )
         lifted = self.tracker.lift(found[0], now_s)
         cleared = (*lifted.cleared, *self.own.cleared)
-        return Findings(OPERATOR, cleared=cleared[:MOST_ITEMS])
+        return Findings(OPERATOR, cleared=cleared[:MAX_ITEMS])
 
 
 async def read_suspects(store: StoreClient) -> OperatorView:
--- a/src/celerytrack/entry/upstream.py
+++ b/src/celerytrack/entry/upstream.py
@@ -24,7 +24,7 @@
 from celerytrack.ids import ReplicaId, RequestId
 from celerytrack.replica_load import Ask, Attempt, ReplicaLoad
 from celerytrack.retries import backoff_s, may_retry
-from celerytrack.routing import Placement, predicted_s
+from celerytrack.routing import Placement, predict_first_token_s
 from celerytrack.settings import WorkClass
 from celerytrack.suspects import SuspectState
 from celerytrack.verdict import Reason, Refusal, Verdict, did_not_run, may_have_run
@@ -133,7 +133,7 @@
 
     :returns: the first success, or the refusal that the caller gets.
     """
-    state.retries.request()
+    state.retries.record_request()
     history = _AttemptHistory()
     work, request_id = admitted.work, admitted.request_id
     while True:
@@ -156,8 +156,10 @@
         ):
             return Failure(history.refusal or _quarantine_refusal(state, admitted))
         now_s = time.time()
-        first_token_s = predicted_s(replica, replica.load(now_s), ask, Placement())
-        sent = replica.send(ask, first_token_s, now_s)
+        first_token_s = predict_first_token_s(
+            replica, replica.load(now_s), ask, Placement()
+        )
+        sent = replica.begin_attempt(ask, first_token_s, now_s)
         suspected = suspect_state is not SuspectState.CLEAR
         if suspected:
             state.suspects.suspect_sent(replica.replica_id)
@@ -172,16 +174,16 @@
             state.suspects.cancel_probe(admitted)
             raise
         finally:
-            sent.ended(time.time())
+            sent.finish(time.time())
             if suspected:
                 state.suspects.suspect_done(replica.replica_id)
         _record_outcome(state, admitted, replica.replica_id, result)
         match result:
             case Success(_):
-                replica.succeeded()
+                replica.record_success()
                 return result
             case Failure(refusal):
-                replica.failed(time.time())
+                replica.record_failure(time.time())
                 _log_attempt_failed(request_id, replica.replica_id, refusal)
                 history.record_failure(sent, refusal)
                 why = _reason_not_to_retry(state, work, refusal, history)
@@ -250,7 +252,7 @@
         return NoRetryReason.NOT_IDEMPOTENT
     # A started answer can only be aborted, not refused, and a caller that retries an
     # aborted answer makes the engines generate all of it again.
-    if not history.streaming and not state.retries.take():
+    if not history.streaming and not state.retries.try_acquire():
         return NoRetryReason.RETRY_BUDGET
     return None
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -219,7 +219,7 @@
     async def test_a_cancelled_probe_is_released(self) -> None:
         """The caller left while the probe was announced. It then lasted until its
         deadline, and no entry could probe the request again."""
-        self.fleet.log.silent = True
+        self.fleet.log.unresponsive = True
         probe = Probe(self.fingerprint, EndpointId("i-9"), 60.0)
         task = asyncio.create_task(self.sync.begin_probe(probe, []))
         await asyncio.sleep(0.1)
@@ -228,7 +228,7 @@
         with self.assertRaises(asyncio.CancelledError):
             await task
         self.assertFalse(self.sync.tracker.is_probing(self.fingerprint))
-        self.fleet.log.silent = False
+        self.fleet.log.unresponsive = False
 
     @params(("e0@127.0.0.1", True), ("another", False))
     def test_without_the_log_only_the_first_in_hash_order_may_probe(
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -296,7 +296,7 @@
 
     async def _assert_exits_without_store(self) -> None:
         async with Site(_slow_answer) as site:
-            site.log.silent = True
+            site.log.unresponsive = True
             pending = asyncio.create_task(site.ask("/plain/x"))
             await site.until_request_arrives()
             await self._stop_gateway(site)
--- a/tests/test_planned_stop_review.py
+++ b/tests/test_planned_stop_review.py
@@ -211,7 +211,7 @@
                 f"POST /once/x HTTP/1.1\r\n{head}Content-Length: 9\r\n\r\n".encode()
             )
             await asyncio.sleep(0.5)
-            site.log.silent = True
+            site.log.unresponsive = True
             began_s = time.monotonic()
             site.gateway.signal(signal.SIGTERM)
             await _wait_for_exit(site, began_s)
@@ -242,7 +242,7 @@
     async def _assert_exits_while_starting(self) -> None:
         async with Site(_long_stream) as site:
             await site.gateway.kill()
-            site.log.silent = True
+            site.log.unresponsive = True
             await site.gateway.spawn()
             await site.gateway.wait_until(
                 lambda: len(site.gateway.log_records("process_started")) == 2, 10.0
