--- a/bench/restore_bench.py
+++ b/bench/restore_bench.py
@@ -32,7 +32,7 @@
 WRITES_PER_S = {9: 600, 76: 1_500, 195: 3_200}
 """Most writes per second that the log takes, by the number of entries."""
 ANNOUNCED = {195: 15}
-"""Number of announced entries, where it is not all of them."""
+"""Number of advertised entries, where it is not all of them."""
 COMPARED_S = 16.0
 """Totals are used up about then, and little is owed afterwards."""
 MAX_CACHED_ROWS = 50_000
--- a/src/celerytrack/lab/prepaid_fleet.py
+++ b/src/celerytrack/lab/prepaid_fleet.py
@@ -76,7 +76,7 @@
         )
         self.entries: list[ModelEntry] = []
         for i in range(scenario.entries):
-            link_mbps = WIDE_MBPS if i < scenario.announced_count else NARROW_MBPS
+            link_mbps = WIDE_MBPS if i < scenario.advertised_count else NARROW_MBPS
             entry = ModelEntry(i, self.log, self.totals, self.entries, link_mbps)
             self.entries.append(entry)
         self.outcome = Outcome()
@@ -84,7 +84,7 @@
         self._calls: set[asyncio.Task[None]] = set()
         self._weights = [1 / (i + 1) for i in range(scenario.accounts)]
         self._names = [AccountId(f"a{i}") for i in range(scenario.accounts)]
-        scale = scenario.announced_count / 9
+        scale = scenario.advertised_count / 9
         rate = scale * sum(w.per_s * _mean_tokens(w) for w in scenario.mix)
         asked = rate * scenario.lasts_s * scenario.total_factor / sum(self._weights)
         self.accounts = {
@@ -101,7 +101,7 @@
         await asyncio.gather(*(self._start(e) for e in self.entries))
         self._began_s = began_s = asyncio.get_running_loop().time()
         tasks = [asyncio.create_task(self._inject(f)) for f in self.scenario.faults]
-        scale = self.scenario.announced_count / 9
+        scale = self.scenario.advertised_count / 9
         tasks += [asyncio.create_task(self._send(w, scale)) for w in self.scenario.mix]
         await asyncio.sleep(self.scenario.runs_s)
         for task in tasks:
@@ -212,7 +212,7 @@
         rank = self._names.index(name)
         if rank < self.scenario.sticky_accounts:
             return [self.entries[-1 - rank]]
-        return self.entries[: self.scenario.announced_count]
+        return self.entries[: self.scenario.advertised_count]
 
     def _count_request(self, request: _Request) -> bool:
         """Count a request; returns whether it is owed."""
--- a/src/celerytrack/lab/prepaid_scenarios.py
+++ b/src/celerytrack/lab/prepaid_scenarios.py
@@ -83,10 +83,10 @@
     :ivar mix: the classes of requests.
     :ivar total_factor: totals as a multiple of the demand during ``lasts_s``.
     :ivar hot_factor: factor on the largest account's requests after a third of the run.
-    :ivar wide: number of entries with wide links, the first ones, which are announced
+    :ivar wide: number of entries with wide links, the first ones, which are advertised
         to callers; with 0 all links are equal.
     :ivar sticky_accounts: number of the largest accounts whose callers stay with one
-        entry each: the last entries of the fleet, in turn, whether announced or not.
+        entry each: the last entries of the fleet, in turn, whether advertised or not.
     """
 
     name: str
@@ -104,8 +104,8 @@
     mix: tuple[Work, ...] = MIX
 
     @property
-    def announced_count(self) -> int:
-        """Number of entries that are announced to callers."""
+    def advertised_count(self) -> int:
+        """Number of entries that are advertised to callers."""
         return self.wide or self.entries
 
 
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -558,7 +558,7 @@
         (WIDE, 6, 6, 6),
         (NARROW, 7, 64, math.inf),
     )
-    def test_entries_with_wide_links_are_announced_and_share_the_work(
+    def test_entries_with_wide_links_are_advertised_and_share_the_work(
         self, own_mbps, caller_entries, rate_shares, account_shares
     ):
         view = _fleet_view(own_mbps, {})
@@ -566,17 +566,17 @@
         self.assertEqual(split.caller_entries, caller_entries)
         self.assertEqual(split.rate_limit_shares, rate_shares)
         self.assertEqual(split.account_shares, account_shares)
-        announced = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
-        self.assertEqual(set(announced), {str(WIDE)})
+        advertised = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
+        self.assertEqual(set(advertised), {str(WIDE)})
 
-    def test_all_entries_are_announced_without_wide_links(self):
+    def test_all_entries_are_advertised_without_wide_links(self):
         view = MembershipView(ME, NARROW)
         for i in range(10):
             member = _member(EntryId(f"e{i}"))
             view.fold(attrs.evolve(member, link_mbps=NARROW), 0.0)
         self.assertEqual(view.caller_split(0.1).caller_entries, 11)
-        announced = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
-        self.assertEqual(len(announced), 10)
+        advertised = choose_addresses(view.live_peers(0.1), Zone("z"), random.Random(1))
+        self.assertEqual(len(advertised), 10)
 
 
 def _fleet_view(own_mbps, rates):
@@ -602,8 +602,8 @@
 
 class StickyCallersTest(unittest.TestCase):
     """Guards against treating an entry with callers of its own as idle because it is
-    not announced. The callers of a large account stay with one entry, whatever is
-    announced. That entry wrote rows at the rate of one of 64 idle ones, two per second
+    not advertised. The callers of a large account stay with one entry, whatever is
+    advertised. That entry wrote rows at the rate of one of 64 idle ones, two per second
     instead of six times as many, and counted each of its prompts at an engine as seven.
     A fifth of all requests came through it, and a third of these were late or refused
     for lack of tokens (9,024 needed, 2,300 available), though the account had 0.9 of
@@ -617,7 +617,7 @@
         # An occasional request does not count as callers of its own.
         (900, NARROW, 64, 7),
     )
-    def test_an_unannounced_entry_with_callers_of_its_own_counts_as_taking(
+    def test_an_unadvertised_entry_with_callers_of_its_own_counts_as_taking(
         self, rate, own_mbps, rate_shares, caller_entries
     ):
         split = _fleet_view(own_mbps, {**self.ANNOUNCED, ME: rate}).caller_split(0.1)
