--- a/src/celerytrack/cli/log_commands.py
+++ b/src/celerytrack/cli/log_commands.py
@@ -19,8 +19,8 @@
     def handle(self) -> int:
         request_id = str(self.argument("request-id"))
         found = timeline(parse(sys.stdin), request_id)
-        for entry in found:
-            self.line(entry.render(), style=None)
+        for line in found:
+            self.line(line.render(), style=None)
         if not found:
             self.line_error(f"<error>no log line has request id {request_id}</error>")
             return 1
--- a/src/celerytrack/entry/admission.py
+++ b/src/celerytrack/entry/admission.py
@@ -260,10 +260,11 @@
     replicas = [r for r in state.view.replicas.values() if r.replica_id not in avoid]
     replica = None
     if avoid:
-        # A request that has failed once goes to a replica without recent failures if
-        # one has room, or it could spend all its attempts on replicas that fail.
-        sound = [r for r in replicas if r.is_healthy]
-        replica = state.choose(sound, ask, zone, now_s)
+        # A replica without recent failures is preferred. A request that has failed
+        # could otherwise spend all its attempts on replicas that fail. The preference
+        # also applies if replicas are avoided only because of probes or suspects.
+        healthy = [r for r in replicas if r.is_healthy]
+        replica = state.choose(healthy, ask, zone, now_s)
     replica = replica or state.choose(replicas, ask, zone, now_s)
     if replica is None:
         raise RefusedError(
--- a/src/celerytrack/explain.py
+++ b/src/celerytrack/explain.py
@@ -64,39 +64,41 @@
 
 
 def timeline(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
-    """The lines of one request in all processes, preceded by the latest changes of the
-    view of each process involved."""
-    lines = sorted(lines, key=lambda entry: entry.at)
-    own_lines = [
-        entry for entry in lines if entry.fields.get("request_id") == request_id
-    ]
+    """The lines of one request in all processes, in order of time.
+
+    For each process they include up to six changes of its view of the system: the
+    latest until its first line of the request, one for each event and subject.
+    """
+    lines = sorted(lines, key=lambda line: line.at)
+    own_lines = [line for line in lines if line.fields.get("request_id") == request_id]
     out: list[LogLine] = []
-    for process in dict.fromkeys(entry.process for entry in own_lines):
-        first = next(entry.at for entry in own_lines if entry.process == process)
+    for process in dict.fromkeys(line.process for line in own_lines):
+        first = next(line.at for line in own_lines if line.process == process)
         before: dict[tuple[int, str], LogLine] = {}
-        for entry in lines:
-            if entry.process != process or entry.at > first:
+        for line in lines:
+            if line.process != process or line.at > first:
                 continue
-            if entry.event in _VIEW_CHANGES:
-                subject = str(entry.fields.get("topic") or entry.fields.get("endpoint"))
-                before[entry.event, subject] = entry
-        out += sorted(before.values(), key=lambda entry: entry.at)[-6:]
-    return sorted([*out, *own_lines], key=lambda entry: entry.at)
+            if line.event in _VIEW_CHANGES:
+                subject = str(line.fields.get("topic") or line.fields.get("endpoint"))
+                before[line.event, subject] = line
+        out += sorted(before.values(), key=lambda line: line.at)[-6:]
+    return sorted([*out, *own_lines], key=lambda line: line.at)
 
 
 def summary(lines: Iterable[LogLine]) -> list[str]:
-    """Counts of outcomes, of refusals by reason and of losses of the store."""
+    """Text lines with the counts of outcomes, of refusals by reason, of losses of the
+    store and of dropped log lines; the largest count first."""
     outcomes: collections.Counter[str] = collections.Counter()
-    for entry in lines:
-        match entry.event:
+    for line in lines:
+        match line.event:
             case Event.ANSWERED:
-                outcomes[f"answered {entry.fields.get('status')}"] += 1
+                outcomes[f"answered {line.fields.get('status')}"] += 1
             case Event.REFUSED | Event.FAILED:
-                outcomes[f"{entry.name} {entry.fields.get('reason')}"] += 1
+                outcomes[f"{line.name} {line.fields.get('reason')}"] += 1
             case Event.STREAM_CUT | Event.CALLER_LEFT | Event.ATTEMPT_FAILED:
-                outcomes[entry.name] += 1
+                outcomes[line.name] += 1
             case Event.STORE_LOST:
-                outcomes[f"store_lost {entry.fields.get('topic')}"] += 1
+                outcomes[f"store_lost {line.fields.get('topic')}"] += 1
             case Event.LINES_DROPPED:
-                outcomes["log lines dropped"] += int(entry.fields.get("lines", 0))
+                outcomes["log lines dropped"] += int(line.fields.get("lines", 0))
     return [f"{count:7}  {what}" for what, count in outcomes.most_common()]
--- a/src/celerytrack/load/checker.py
+++ b/src/celerytrack/load/checker.py
@@ -48,10 +48,10 @@
                 return out
 
 
-async def _non_idempotent_runs(
+async def _count_repeated_runs(
     fleet: FleetSettings, non_idempotent_classes: set[str]
 ) -> int:
-    doubles = 0
+    repeated = 0
     async with aiohttp.ClientSession() as http:
         for spec in fleet.replicas:
             if spec.kind.value != "service":
@@ -61,12 +61,12 @@
                     runs = (await resp.json())["runs"]
             except aiohttp.ClientError:
                 continue
-            doubles += sum(
+            repeated += sum(
                 n - 1
                 for k, n in runs.items()
                 if k.split(":")[0] in non_idempotent_classes and n > 1
             )
-    return doubles
+    return repeated
 
 
 async def audit(fleet: FleetSettings, non_idempotent_classes: set[str]) -> Audit:
@@ -89,13 +89,13 @@
                 bill = Bill.from_json(item)
                 per_request[bill.request_id] += 1
                 billed[bill.account] += bill.tokens
-    doubles = await _non_idempotent_runs(fleet, non_idempotent_classes)
+    repeated = await _count_repeated_runs(fleet, non_idempotent_classes)
     return Audit(
         {str(a): t.budget_tokens for a, t in ledger.accounts.items()},
         dict(billed),
         sum(per_request.values()),
         sum(n - 1 for n in per_request.values() if n > 1),
-        doubles,
+        repeated,
         sum(t.open_tokens for t in ledger.accounts.values()),
     )
 
--- a/src/celerytrack/platform/rows.py
+++ b/src/celerytrack/platform/rows.py
@@ -68,15 +68,15 @@
 ) -> dict[str, tuple[int, ...]]:
     return {
         account: (
-            row.claimed_tokens,
-            row.immediate_tokens,
-            row.used_tokens,
-            row.wanted_tokens,
-            row.lost_tokens,
-            row.rate_tokens_per_s,
-            row.unlock_tokens_per_s,
+            claim.claimed_tokens,
+            claim.immediate_tokens,
+            claim.used_tokens,
+            claim.wanted_tokens,
+            claim.lost_tokens,
+            claim.rate_tokens_per_s,
+            claim.unlock_tokens_per_s,
         )
-        for account, row in shares.items()
+        for account, claim in shares.items()
     }
 
 
--- a/src/celerytrack/slo.py
+++ b/src/celerytrack/slo.py
@@ -57,26 +57,26 @@
 
 
 def report(lines: Iterable[LogLine]) -> dict[str, ClassReport]:
-    """Reports for each class of work, from the log lines of all entries."""
+    """The outcomes of each class of work, from the log lines of all entries."""
     classes: dict[str, ClassReport] = collections.defaultdict(ClassReport)
     for line in lines:
         name = line.fields.get("route")
         if name is None:
             continue
-        row = classes[name]
+        counts = classes[name]
         match line.event:
             case Event.ANSWERED if "target_ms" not in line.fields:
                 continue
             case Event.ANSWERED if line.fields.get("status", 500) < 500:
                 if _in_time(line):
-                    row.in_time += 1
+                    counts.in_time += 1
                 else:
-                    row.late += 1
+                    counts.late += 1
             case Event.REFUSED:
-                row.refused += line.fields.get("reason") not in _CALLER_REASONS
+                counts.refused += line.fields.get("reason") not in _CALLER_REASONS
             case Event.ANSWERED | Event.FAILED | Event.STREAM_CUT:
-                row.failed += 1
-    return {name: row for name, row in classes.items() if row.total}
+                counts.failed += 1
+    return {name: counts for name, counts in classes.items() if counts.total}
 
 
 def _in_time(line: LogLine) -> bool:
