--- a/src/celerytrack/cli/_serve.py
+++ b/src/celerytrack/cli/_serve.py
@@ -9,7 +9,8 @@
 from aiohttp import web
 
 SHUTDOWN_TIMEOUT_S = 5.0
-"""Time that in-flight requests get when a server closes, and again once cancelled."""
+"""Time that in-flight requests get to finish when a server closes. Requests that are
+then cancelled get the same time again."""
 
 Hook = Callable[[], Awaitable[None]]
 Close = Callable[[web.AppRunner], Awaitable[None]]
--- a/src/celerytrack/cli/ctl.py
+++ b/src/celerytrack/cli/ctl.py
@@ -142,7 +142,10 @@
 
 
 async def topup(log: LogClient, account: str, tokens: int, topup_id: str) -> bool:
-    """Append a top-up; retries use the same id, so it is credited once."""
+    """Append a top-up; return whether the log confirmed it.
+
+    Retries use the same id, so that it is credited once.
+    """
     record = {
         "type": "topup",
         "account": account,
--- a/src/celerytrack/cli/suspect_commands.py
+++ b/src/celerytrack/cli/suspect_commands.py
@@ -1,4 +1,4 @@
-"""``celerytrackctl suspects`` and ``lift``: suspected requests and their release.
+"""``celerytrackctl suspects`` and ``lift``: list suspects and lift a quarantine.
 
 A suspect is a request under which endpoints crashed. The commands read and write the
 records on the platform's log.
@@ -65,7 +65,7 @@
             self.first_crash_at_s[evidence.fingerprint] = min(known_s, at_s)
 
     def lift(self, prefix: str, now_s: float) -> Findings:
-        """Return the operators' record that lifts the suspect with this prefix.
+        """Return the operators' record that lifts the quarantine of one suspect.
 
         :param prefix: the beginning of its fingerprint in hexadecimal digits.
         :raises SuspectsError: if no suspect matches, or more than one.
@@ -102,7 +102,9 @@
 
 
 async def lift_suspect(store: StoreClient, prefix: str) -> Findings:
-    """Lift a quarantine by a record on the log, which all entries follow.
+    """Append a record that lifts a quarantine; return its findings.
+
+    All entries follow the records on the log.
 
     :raises SuspectsError: if no single suspect matches, or the append fails.
     """
--- a/src/celerytrack/load/caller.py
+++ b/src/celerytrack/load/caller.py
@@ -51,7 +51,8 @@
 
     :ivar seed_addresses: entries to fetch the addresses from.
     :ivar keys: account id to account key.
-    :ivar routes: by account id: monotonic time of expiry, and addresses.
+    :ivar routes: by account id: the monotonic time at which its entry addresses expire,
+        and the addresses.
     """
 
     seed_addresses: list[str]
--- a/src/celerytrack/load/runner.py
+++ b/src/celerytrack/load/runner.py
@@ -19,7 +19,7 @@
 
     :ivar rate_per_s: mean arrivals per second.
     :ivar duration_s: time during which requests arrive.
-    :ivar max_requests: limit of arrivals; the marked requests have the same limit.
+    :ivar max_requests: limit of arrivals, and also of repeats of the marked request.
     :ivar seed: random seed, so that a run can be repeated.
     :ivar repeats_per_s: rate at which one marked request is repeated in addition, each
         time to an entry drawn at random.
--- a/src/celerytrack/platform/http.py
+++ b/src/celerytrack/platform/http.py
@@ -25,7 +25,7 @@
 _MAX_URGENCY = 9
 """Highest urgency number; 0 is the most urgent."""
 _MAX_COUNT_DIGITS = 15
-"""Longest token count in digits: more than any prompt has, and within 64 bits."""
+"""Most digits of a token count: more than any prompt needs, and within 64 bits."""
 _MAX_DEADLINE_MS = 86_400_000.0
 """Longest deadline that a caller may set: one day."""
 
--- a/src/celerytrack/platform/settings.py
+++ b/src/celerytrack/platform/settings.py
@@ -32,10 +32,10 @@
     :ivar retry_ratio: retries allowed per request, fleet-wide.
     :ivar retry_slack: retries allowed beyond that in a window.
     :ivar max_ttl_s: longest TTL allowed for an address answer.
-    :ivar config_in_force_s: how long after its confirmation a configuration must be
-        in force everywhere.
-    :ivar leaving_known_s: how long after its confirmation the draining of an endpoint
-        must be known everywhere.
+    :ivar config_in_force_s: longest time allowed from the confirmation of a
+        configuration until it is in force everywhere.
+    :ivar leaving_known_s: longest time allowed from the confirmation that an endpoint
+        drains until all entries know it.
     :ivar link_mbps: bandwidth of the instance's link; 0 if unknown.
     """
 
--- a/src/celerytrack/platform/store.py
+++ b/src/celerytrack/platform/store.py
@@ -125,9 +125,9 @@
     async def newest(self, topic: str) -> Result[Batch, StoreError]:
         """The newest record of each key of ``topic``.
 
-        The pages are not a snapshot. The batch therefore continues from the end at
-        its first page, so that changes between pages are read again. Pages of
-        different eras are rejected.
+        The pages are not a snapshot. The batch's ``next_offset`` is therefore the end
+        of the log that the first page states, so that changes between pages are read
+        again. Pages of different eras are rejected.
         """
         records: list[KeyedRecord] = []
         params = {"topic": topic, "part": "0"}
--- a/src/celerytrack/replica_load.py
+++ b/src/celerytrack/replica_load.py
@@ -1,8 +1,8 @@
 """One entry's estimate of a replica's load and prefix cache.
 
 A replica's own reports lag, so they are used only where no fresher source
-exists. An entry knows exactly what it runs at the replica itself, and its peers
-announce several times a second what they run there.
+exists. An entry knows exactly which of its own requests run at the replica, and
+its peers announce their load there several times a second.
 """
 
 import bisect
@@ -165,8 +165,8 @@
         Others' work is what peers announced within :data:`PEER_LOAD_TTL_S`. If none
         did (this entry is partitioned, or the only one), it is what the last report
         shows beyond what this entry had there at that moment. Adding later sends to
-        the whole report would count requests that finished since twice and make a
-        busy replica look full.
+        the whole report would count twice the requests that have finished since, and
+        make a busy replica look full.
         """
         running, prefill_tokens = self.own
         has_peer_load = False
@@ -210,7 +210,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Whether its last recorded attempt succeeded."""
+        """Whether no attempt has failed since the last successful one."""
         return self._failures == 0
 
     def can_take_request(self, now_s: float) -> bool:
--- a/src/celerytrack/routing.py
+++ b/src/celerytrack/routing.py
@@ -7,9 +7,9 @@
 accounts.
 
 Requests map to the replica with the earliest predicted first token. The
-prediction adds the time to prefill the prompt tokens that wait there and those
-of this prompt that its prefix cache lacks to the time of its batch, and
-multiplies the sum by its recent slowness.
+prediction is the sum of two times, multiplied by the replica's recent slowness:
+the time to prefill the prompt tokens pending there and those of this prompt that
+its prefix cache lacks, and the delay that its batch adds.
 """
 
 import itertools
--- a/src/celerytrack/settings.py
+++ b/src/celerytrack/settings.py
@@ -29,8 +29,8 @@
 MIN_KEY_CHARS = 8
 """Shortest key in characters; shorter ones can be guessed by brute force."""
 POST_DRAIN_S = 4.0
-"""Time a planned stop needs after the requests in progress, to write the last bills and
-to close."""
+"""Time that a planned stop needs after the last request in progress, to write the last
+bills and to close."""
 _NAME = re.compile(r"^[a-z0-9][a-z0-9._-]{0,62}$")
 _ADDRESS = re.compile(r"^127\.\d{1,3}\.\d{1,3}\.\d{1,3}:\d{1,5}$|^[\w.-]+:\d{1,5}$")
 
@@ -106,7 +106,7 @@
 
 @attrs.frozen
 class Account:
-    """A client account: its id and the key that it signs requests with."""
+    """A client account: its id and the key that authenticates its requests."""
 
     account_id: AccountId = attrs.field(validator=_validate_name)
     key: str = attrs.field(validator=_validate_key)
@@ -206,8 +206,8 @@
     :ivar ledger_flush_s: minimum interval between appends to the ledger.
     :ivar route_ttl_s: how long callers cache an address answer.
     :ivar drain_grace_s: how long requests in progress may continue on a planned stop.
-    :ivar stop_grace_s: how long after the stop signal the supervisor kills the process.
-    :ivar upstream_timeout_s: longest wait for the first byte of a replica.
+    :ivar stop_grace_s: time from the stop signal to the kill by the supervisor.
+    :ivar upstream_timeout_s: longest wait for the first byte from a replica.
     :ivar instance_poll_s: interval between reads of the instance list, loads and peers.
     :ivar snapshot_every_s: interval between snapshots of the state in force on the
         log; must be well under half of the log's retention.
--- a/src/celerytrack/sse.py
+++ b/src/celerytrack/sse.py
@@ -1,8 +1,8 @@
 """Relaying one answer's server-sent events, without I/O.
 
 The engine's bytes go to the caller unchanged, several events at a time. Parsing
-each event as JSON took more processor time than everything else an entry does
-for a token.
+each event as JSON would take more processor time than everything else an entry
+does for a token.
 """
 
 import json
@@ -69,8 +69,11 @@
         return out
 
     def resume(self) -> None:
-        """Continue over a new connection, which repeats an event that the old one
-        cut off in the middle."""
+        """Continue on a new connection.
+
+        The received part of an incomplete event is dropped, because the new
+        connection sends the whole event.
+        """
         self._partial = b""
 
     def _has_only_own_events(self, block: bytes) -> bool:
--- a/src/celerytrack/standins/_common.py
+++ b/src/celerytrack/standins/_common.py
@@ -66,9 +66,9 @@
 
 
 def lose_reply(faults: Faults, request: web.Request) -> bool:
-    """Close the connection in place of a reply if ``lose_replies`` says so.
+    """Close the connection instead of replying if ``lose_replies`` is not used up.
 
-    Called after a change took effect.
+    Called after a change took effect. Returns whether the connection was closed.
     """
     if faults.lose_replies <= 0:
         return False
--- a/src/celerytrack/standins/engine.py
+++ b/src/celerytrack/standins/engine.py
@@ -121,7 +121,7 @@
     async def prefill(self, prompt: str, priority: int) -> None:
         """Prefill the uncached blocks of a prompt.
 
-        Prefill runs in chunks; the next chunk is of the most urgent prompt.
+        Prefill runs in chunks; each chunk is taken from the most urgent prompt.
         """
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         job = _Prefill(prompt_blocks(prompt), count_tokens(prompt), done)
--- a/src/celerytrack/standins/log.py
+++ b/src/celerytrack/standins/log.py
@@ -6,7 +6,8 @@
   append; with ``expected_offset`` the append happens only if the stream's
   next offset is ``n`` (409 with ``next_offset`` otherwise).
 - ``GET /streams/{name}?from=n&limit=m&wait_s=t``: records from offset ``n``,
-  waiting up to ``t`` seconds for the first; 410 below the retained start.
+  waiting up to ``t`` seconds for the first; 410 if ``n`` is below the oldest
+  retained offset.
 - ``GET /streams/{name}/last``: the last record.
 
 Knobs: outages, slow answers, lost replies, partitioned clients, a limit of appends per
