--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -98,7 +98,7 @@
         ({A: AccountClaim(8_000, 8_000, 1_000)}, NEW, 8_000),
     )
     def test_only_its_owner_lowers_a_claim(self, row, era, counts):
-        """Guards against spending the tokens of a claim twice that the backup lacks."""
+        """Guards against spending twice the tokens of a claim that the backup lacks."""
         budgets = _budgets()
         budgets.on_log_restored(NEW, {PEER}, 0.0)
         budgets.fold(PEER, row, era)
@@ -131,8 +131,8 @@
         self.assertEqual(budgets._share(A).accepted_tokens > before, rises)
 
     def test_a_row_of_the_old_era_does_not_end_the_hold(self):
-        """An append of the old era that lands late, in the new one, has an older claim
-        than its owner."""
+        """An append of the old era may take effect late, in the new one. Its claim is
+        then older than the one that its owner holds."""
         budgets = _budgets()
         budgets.on_log_restored(NEW, {PEER}, 0.0)
         budgets.fold(PEER, {A: AccountClaim(1_000, 1_000)}, OLD)
@@ -141,7 +141,8 @@
         self.assertEqual(budgets.rows.claimed_tokens(A), 30_000)
 
     def test_allowances_survive_a_restore(self):
-        """Guards against a restore that takes tokens that an outage would leave."""
+        """Guards against a restore of the log that takes tokens from an entry, although
+        an outage of the log would not."""
         budgets = _budgets()
         _write(budgets, OLD, 0.0)
         left = budgets.available_tokens(A, 0.5)
@@ -204,7 +205,7 @@
         ({"epoch": 9, "era": OLD}, {"epoch": 2, "started_s": 5.0, "era": NEW}, True),
     )
     def test_only_a_newer_row_replaces_another(self, known, read, replaced):
-        """Guards against announcing a leaving entry to callers, from its old row."""
+        """Guards against an old row by which callers are sent to a leaving entry."""
         view = MembershipView(ME)
         view.fold(_member(**known, state=MemberState.LEAVING), 0.0)
         view.fold(_member(**read), 1.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -470,10 +470,10 @@
 class RestartedEndpointTest(unittest.IsolatedAsyncioTestCase):
     """Guards against requests that stay on connections to a previous incarnation.
 
-    An endpoint's instance becomes unreachable, so that its connections stay open and
-    silent, and the endpoint restarts under the same id. Incarnations were told apart by
-    the id alone: callers waited until their deadline, and calls sent on a reused old
-    connection had an unknown outcome.
+    An endpoint's instance becomes unreachable, so that its connections stay open but
+    carry no data, and the endpoint restarts under the same id. Incarnations were told
+    apart by the id alone: callers waited until their deadline, and calls sent on a
+    reused old connection had an unknown outcome.
     """
 
     async def _silent(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -61,8 +61,8 @@
 
     After a partition from the store an entry read all 28 configuration versions written
     meanwhile, although only the last one counts: 50 KB each, five at a time in answers
-    of 300 KB, beside a megabyte of other entries' rows, over a link of 5 Mbit/s. It was
-    still 5 s behind 5 s after the partition had ended.
+    of 300 KB, beside a megabyte of other entries' rows, over a link of 5 Mbit/s. Five
+    seconds after the partition had ended, it was still 5 s behind.
     """
 
     async def test_newest_version_is_applied_in_time(self):
@@ -167,11 +167,11 @@
         write(3_200)
         last = len(log.topic("keyed.rows").records) - 1
         carried = log.link.carried_bytes
-        cut_ended_s = time.monotonic()
+        partition_ended_s = time.monotonic()
         while max(known.values()) < last:
             await tail.poll()
             write(20)
-            self.assertLess(time.monotonic() - cut_ended_s, CAUGHT_UP_S)
+            self.assertLess(time.monotonic() - partition_ended_s, CAUGHT_UP_S)
         # Allowed are the read that detects the backlog and twice the newest rows.
         newest = 64 * 1_250 * 4 / 3
         self.assertLess(log.link.carried_bytes - carried, 2 * newest + 150_000)
@@ -208,7 +208,7 @@
     async def test_keys_added_after_the_first_are_read(self):
         """Guards against tokens that are regarded as free although others claim them.
 
-        An entry that starts first and reads right after each of its own rows never read
+        An entry that started first and read right after each of its own rows never read
         the rows of the other entries.
         """
         log = KeyedLog()
