--- a/src/celerytrack/platform/store.py
+++ b/src/celerytrack/platform/store.py
@@ -40,7 +40,8 @@
 MAX_ANSWER_S = 6.0
 """Longest time to receive an answer. A large configuration takes seconds on a slow,
 shared link. With a shorter limit the call would be aborted and repeated for ever, and
-the entry would never start. The limit also ends calls on a half-dead connection."""
+the entry would never start. The limit also ends calls on a failing connection that
+still delivers a few bytes at a time."""
 MAX_READ_KB = 128
 """Largest answer that one read requests; a larger record is sent alone. On a slow link
 the reads of other topics wait for the answer, and without this limit the store would
